--- a/Makefile
+++ b/Makefile
@@ -15,6 +15,7 @@
 	$(PYTHON) -m pytest
 
 lint:
+	$(PYTHON) -m ruff format --check .
 	$(PYTHON) -m ruff check .
 	$(PYTHON) -m mypy
 
--- a/barleywheel/__main__.py
+++ b/barleywheel/__main__.py
@@ -29,8 +29,10 @@
         try:
             from barleywheel.cli import app  # only here: it loads libraries that the router does without
         except ImportError as error:
-            print(f"barleywheel: the tools are not installed ({error}); pip install 'barleywheel[tools]'",
-                  file=sys.stderr)
+            print(
+                f"barleywheel: the tools are not installed ({error}); pip install 'barleywheel[tools]'",
+                file=sys.stderr,
+            )
             return 2
         app()
     return serve()
--- a/barleywheel/brain.py
+++ b/barleywheel/brain.py
@@ -276,11 +276,17 @@
         can still be in time.
         """
         took = self.now - call.sent_us
-        return (exchange.erred >= ERRORS_MANY and cause is Cause.NONE
-                and call.kind.effect is api.Effect.FREE and not call.offer.in_transit
-                and exchange.entry.cell == call.offer.destination and call.attempts <= ERROR_REPEATS
-                and self.now + took < call.taken_us + call.kind.aim_us and self._unpressed(exchange)
-                and self.f >= PRESSED)
+        return (
+            exchange.erred >= ERRORS_MANY
+            and cause is Cause.NONE
+            and call.kind.effect is api.Effect.FREE
+            and not call.offer.in_transit
+            and exchange.entry.cell == call.offer.destination
+            and call.attempts <= ERROR_REPEATS
+            and self.now + took < call.taken_us + call.kind.aim_us
+            and self._unpressed(exchange)
+            and self.f >= PRESSED
+        )
 
     # Routes.
 
@@ -289,19 +295,27 @@
         if self.now >= call.deadline_us:  # events came late: no time is left to send in
             self._fail(call)
             return
-        targets = [x for x in self.exchanges.values()
-                   if x.entry.cell == offer.destination and x.entry.state is api.State.READY]
+        targets = [
+            x
+            for x in self.exchanges.values()
+            if x.entry.cell == offer.destination and x.entry.state is api.State.READY
+        ]
         if targets and offer.destination != self.settings.home and (cap is None or call.attempts < cap):
             target = max(targets, key=lambda x: x.entry.launched_us)  # a replaced one may still be listed
             # Redials stand late, for part of the worth: short of circuits they must not displace first tries.
             kept = LOW_RESERVE * (target.size or 0.0) if offer.redialled else 0.0
             if target.entry.exchange not in call.tried and (
-                    target.free is None or target.free >= offer.width + kept):
+                target.free is None or target.free >= offer.width + kept
+            ):
                 choice = target
             elif not offer.in_transit and not offer.redialled:
                 choice = self._tandem(call, target)
-        if choice is None or not self._sendable(choice) or first and not self._admitted(
-                call, min(self.f, self.told, choice.f, choice.told, self._burst())):
+        if (
+            choice is None
+            or not self._sendable(choice)
+            or first
+            and not self._admitted(call, min(self.f, self.told, choice.f, choice.told, self._burst()))
+        ):
             self._refuse(call)  # refused before sending; a refused draw tries no other route
         else:
             self._send(call, choice)
@@ -327,24 +341,34 @@
 
         Guards direct calls against calls that take two groups; harmful if groups are few and idle.
         """
-        if self.f < PRESSED or not self._unpressed(target) or (
-                self.now < self.engaged.get(call.offer.number, 0)):
+        if (
+            self.f < PRESSED
+            or not self._unpressed(target)
+            or (self.now < self.engaged.get(call.offer.number, 0))
+        ):
             return None  # nor for a number lately engaged: its crowd is kept to its own group
         options, width = [], call.offer.width
         for exchange in self.exchanges.values():
             entry, room = exchange.entry, exchange.room
             if entry.cell in (self.settings.home, call.offer.destination) or (
-                    self.settings.pools and entry.cell not in call.kind.pools):
+                self.settings.pools and entry.cell not in call.kind.pools
+            ):
                 continue
-            if (room is None or room >> call.offer.destination & 1) and entry.exchange not in call.tried and (
-                    exchange.free is None or exchange.free >= width + RESERVE * (exchange.size or 0.0)) and (
-                    self._unpressed(exchange) and self._sendable(exchange)):
+            if (
+                (room is None or room >> call.offer.destination & 1)
+                and entry.exchange not in call.tried
+                and (exchange.free is None or exchange.free >= width + RESERVE * (exchange.size or 0.0))
+                and (self._unpressed(exchange) and self._sendable(exchange))
+            ):
                 options.append(exchange)
         return self.random.choices(options, [x.weight for x in options])[0] if options else None
 
     def _unpressed(self, exchange: Exchange) -> bool:
-        return exchange.entry.state is api.State.READY and not exchange.open and (
-            min(exchange.f, exchange.told) >= PRESSED)
+        return (
+            exchange.entry.state is api.State.READY
+            and not exchange.open
+            and (min(exchange.f, exchange.told) >= PRESSED)
+        )
 
     def _sendable(self, exchange: Exchange) -> bool:
         """Breaker and slow start."""
@@ -363,8 +387,12 @@
         sizes = sorted(x.most / settings.agents for x in self.exchanges.values() if x.most) or [self.rate]
         size = exchange.was / settings.agents or min(self.rate or sizes[0], sizes[len(sizes) // 2])
         grown = settings.cold_from + (1.0 - settings.cold_from) * (now - launched) / settings.cold_us
-        bears = settings.tip_multiple * settings.fall_us / 1e6 * max(
-            settings.cold_from * size, min(grown * size, exchange.most / settings.agents))
+        bears = (
+            settings.tip_multiple
+            * settings.fall_us
+            / 1e6
+            * max(settings.cold_from * size, min(grown * size, exchange.most / settings.agents))
+        )
         if 0 < bears < 1:
             return now >= exchange.sent_us + settings.fall_us / bears
         return len(exchange.sends) < max(1.0, bears)  # nothing known yet: one call a window
@@ -375,7 +403,8 @@
         exchange = self.exchanges.get(number)
         free, size, used, can_take = (  # unknown, -1, NaN and absurd all mean unknown, never 0
             value if value is not None and 0.0 <= value <= ABSURD else None
-            for value in (load.free_circuits, load.group_size, load.utilisation, load.can_take))
+            for value in (load.free_circuits, load.group_size, load.utilisation, load.can_take)
+        )
         if exchange is None:
             return
         exchange.free = exchange.free if free is None else free
@@ -454,8 +483,11 @@
         moved = calm and abs(self.told - self.tells) > TOLD_STEP
         if not self.settings.may_message or self.epochs < period * (self.told if calm else 1.0) and not moved:
             return
-        room = sum(1 << x.entry.cell for x in self.exchanges.values()
-                   if self._unpressed(x) and (x.free or 0.0) >= 1.0)
+        room = sum(
+            1 << x.entry.cell
+            for x in self.exchanges.values()
+            if self._unpressed(x) and (x.free or 0.0) >= 1.0
+        )
         if moved or room != self.room or self.epochs >= REPEATS * period:
             self.epochs, self.tells, self.room = 0, self.told, room
             self.actions.append(api.PeerReport(self.settings.home, self.told, room))
--- a/barleywheel/config.py
+++ b/barleywheel/config.py
@@ -79,8 +79,11 @@
             connect_timeout_us=int(limits.get("connect_timeout_us") or 500_000),
             known=journal_wire.events(raw.get("known") or {}),
             settings=parsed,
-            names={"classes": classes, "zones": [str(z) for z in settings.get("zones") or []],
-                   "kinds": [str(k) for k in settings.get("kinds") or []]},
+            names={
+                "classes": classes,
+                "zones": [str(z) for z in settings.get("zones") or []],
+                "kinds": [str(k) for k in settings.get("kinds") or []],
+            },
         )
     except (SettingsError, Malformed, ValueError, OverflowError, TypeError, AttributeError) as error:
         raise ConfigError(f"{path}: {error}") from error
@@ -154,8 +157,9 @@
     """Read an operator's file's bytes; ConfigError, which names the path, where they can't be used."""
     try:
         raw = tomllib.loads(data.decode())
-        return Extras(_m3ua(raw["m3ua"]) if "m3ua" in raw else None,
-                      _snmp(raw["snmp"]) if "snmp" in raw else None)
+        return Extras(
+            _m3ua(raw["m3ua"]) if "m3ua" in raw else None, _snmp(raw["snmp"]) if "snmp" in raw else None
+        )
     except KeyError as error:
         raise ConfigError(f"{path}: {error} is missing") from error
     except (ValueError, OverflowError, RecursionError, TypeError, AttributeError) as error:
@@ -184,10 +188,15 @@
 
 
 def _m3ua(raw: dict[str, Any]) -> M3uaConfig:
-    peers = [PeerConfig(_within(peer, "point_code", 0, MOST_POINT_CODE),
-                        _within(peer, "asp", 0, 0xFFFFFFFF) if "asp" in peer else None,
-                        _circuits(str(peer["circuits"])),
-                        _within(peer, "cell", 0, 0xFFFF) if "cell" in peer else None) for peer in raw["peer"]]
+    peers = [
+        PeerConfig(
+            _within(peer, "point_code", 0, MOST_POINT_CODE),
+            _within(peer, "asp", 0, 0xFFFFFFFF) if "asp" in peer else None,
+            _circuits(str(peer["circuits"])),
+            _within(peer, "cell", 0, 0xFFFF) if "cell" in peer else None,
+        )
+        for peer in raw["peer"]
+    ]
     if len({peer.point_code for peer in peers}) < len(peers) or not peers:
         raise ValueError("peers need point codes of their own")
     return M3uaConfig(
@@ -198,11 +207,13 @@
         rlc_ms=_within(raw, "rlc_ms", 10, MOST_MS, 15_000),
         beat_ms=_within(raw, "beat_ms", 10, MOST_MS, 30_000),
         up_ms=_within(raw, "up_ms", 10, MOST_MS, 5_000),
-        classes={name: ClassConfig(_within(item, "category", 0, 255),
-                                   _within(item, "patience_ms", 1, MOST_MS))
-                 for name, item in raw["classes"].items()},
-        numbers={str(prefix).lower(): _within(raw["numbers"], prefix, 0, 0xFFFF)
-                 for prefix in raw["numbers"]},
+        classes={
+            name: ClassConfig(_within(item, "category", 0, 255), _within(item, "patience_ms", 1, MOST_MS))
+            for name, item in raw["classes"].items()
+        },
+        numbers={
+            str(prefix).lower(): _within(raw["numbers"], prefix, 0, 0xFFFF) for prefix in raw["numbers"]
+        },
         peers=peers,
     )
 
--- a/barleywheel/core/life.py
+++ b/barleywheel/core/life.py
@@ -157,10 +157,16 @@
             self.deadlines.drop(limit)
         if outcome.end in (End.TIMEOUT, End.GONE, End.CLOSED):
             carrier.cancel(attempt)
-            log.info("attempt given up: ref=%s hub=%s end=%s after_ms=%d dest=%d cell=%d transit=%s",
-                     call.request.ref, attempt.hub.decode(), outcome.end.value,
-                     (now_us() - attempt.started_us) // 1000, call.request.destination,
-                     self.facade.cell(attempt.hub), call.request.in_transit)
+            log.info(
+                "attempt given up: ref=%s hub=%s end=%s after_ms=%d dest=%d cell=%d transit=%s",
+                call.request.ref,
+                attempt.hub.decode(),
+                outcome.end.value,
+                (now_us() - attempt.started_us) // 1000,
+                call.request.destination,
+                self.facade.cell(attempt.hub),
+                call.request.in_transit,
+            )
         return outcome
 
     def _stands(self, call: Call, attempt: Attempt, carrier: Carrier, outcome: Outcome) -> None:
--- a/barleywheel/facade.py
+++ b/barleywheel/facade.py
@@ -48,8 +48,16 @@
     Note.ENGAGED: api.Cause.LINES_ENGAGED,
 }
 # Reports name their values as the settings do, or by the short names of the protocol's page.
-SHORT = {"x0": "free", "x1": "size", "queue": "pending", "qps": "can_take", "util": "cpu_share",
-         "inflight": "busy_reqs", "latency_ms": "svc_ms", "eps": "hold_back"}
+SHORT = {
+    "x0": "free",
+    "x1": "size",
+    "queue": "pending",
+    "qps": "can_take",
+    "util": "cpu_share",
+    "inflight": "busy_reqs",
+    "latency_ms": "svc_ms",
+    "eps": "hold_back",
+}
 
 
 def _load(values: dict[str, float]) -> api.Load:
@@ -64,8 +72,9 @@
 class Facade:
     """One decision module, asked and told in plain calls."""
 
-    def __init__(self, settings: api.Settings, names: dict[str, list[str]], seed: int,
-                 deadlines: Deadlines) -> None:
+    def __init__(
+        self, settings: api.Settings, names: dict[str, list[str]], seed: int, deadlines: Deadlines
+    ) -> None:
         self._module = Controller(settings, seed)
         self._deadlines = deadlines
         self._names = {kind: {name: at for at, name in enumerate(values)} for kind, values in names.items()}
@@ -104,32 +113,40 @@
         """Where to send a new call, or its final answer."""
         request, now = call.request, now_us()
         self._calls[call.number] = call
-        return self._decide(call, api.CallOffered(
-            call=call.number,
-            time_left_us=max(0, request.left_us - (now - request.received_us)),
-            destination=request.destination,
-            call_class=self._names["classes"][request.class_name],
-            number=int(request.number, 16) if request.number else 0,
-            redialled=request.redialled,
-            in_transit=request.in_transit,
-            cut_before=request.cut_before,
-            source=request.source if request.in_transit else None,
-            advice=None if request.in_transit else request.source,
-            width=request.width,
-        ), now)
+        return self._decide(
+            call,
+            api.CallOffered(
+                call=call.number,
+                time_left_us=max(0, request.left_us - (now - request.received_us)),
+                destination=request.destination,
+                call_class=self._names["classes"][request.class_name],
+                number=int(request.number, 16) if request.number else 0,
+                redialled=request.redialled,
+                in_transit=request.in_transit,
+                cut_before=request.cut_before,
+                source=request.source if request.in_transit else None,
+                advice=None if request.in_transit else request.source,
+                width=request.width,
+            ),
+            now,
+        )
 
     def report(self, attempt: Attempt, outcome: Outcome) -> Decision:
         """Tell how an attempt ended; what to do next."""
-        return self._decide(attempt.call, api.AttemptEnded(
-            call=attempt.call.number,
-            attempt=attempt.index,
-            exchange=attempt.hub,
-            outcome=ENDS[outcome.end],
-            elapsed_us=max(0, outcome.at_us - attempt.sent_us),
-            cause=CAUSES[outcome.note],
-            beyond_full=outcome.note is Note.BEYOND_FULL,
-            load=_load(outcome.load),
-        ), now_us())
+        return self._decide(
+            attempt.call,
+            api.AttemptEnded(
+                call=attempt.call.number,
+                attempt=attempt.index,
+                exchange=attempt.hub,
+                outcome=ENDS[outcome.end],
+                elapsed_us=max(0, outcome.at_us - attempt.sent_us),
+                cause=CAUSES[outcome.note],
+                beyond_full=outcome.note is Note.BEYOND_FULL,
+                load=_load(outcome.load),
+            ),
+            now_us(),
+        )
 
     def stands(self, attempt: Attempt, outcome: Outcome) -> None:
         """Tell that a call stands."""
--- a/barleywheel/fronts/m3ua.py
+++ b/barleywheel/fronts/m3ua.py
@@ -105,8 +105,13 @@
         if self.link is None or not self.active:
             return False
         conf = self.front.conf
-        transfer = m3ua.Transfer(conf.point_code, self.conf.point_code, isup.encode(message),
-                                 ni=conf.network_indicator, sls=message.cic & 15)
+        transfer = m3ua.Transfer(
+            conf.point_code,
+            self.conf.point_code,
+            isup.encode(message),
+            ni=conf.network_indicator,
+            sls=message.cic & 15,
+        )
         return self.link.write(m3ua.data(transfer, conf.routing_context))
 
     # Circuits.
@@ -201,8 +206,9 @@
             request = attempt.call.request
             category = self.front.category(request.class_name)
             try:
-                iam = isup.Message(circuit.cic, isup.Type.IAM, request.number, category,
-                                   description=request.description)
+                iam = isup.Message(
+                    circuit.cic, isup.Type.IAM, request.number, category, description=request.description
+                )
                 isup.encode(iam)
             except ValueError as error:  # a description that this wire has no room for
                 log.warning("call can't be placed: ref=%s %s", request.ref, error)
@@ -391,8 +397,11 @@
             case Kind.DUNA | Kind.DAVA | Kind.SCON:
                 self._network(link, message)
             case Kind.DAUD:
-                link.write(m3ua.encode(Kind.DAVA, self._context() | {
-                    Tag.AFFECTED: self.conf.point_code.to_bytes(4, "big")}))
+                link.write(
+                    m3ua.encode(
+                        Kind.DAVA, self._context() | {Tag.AFFECTED: self.conf.point_code.to_bytes(4, "big")}
+                    )
+                )
             case code if code >> 8 in (0, 1, 2, 3, 4):
                 self._error(link, Error.UNSUPPORTED_TYPE)
             case _:
@@ -404,7 +413,8 @@
     def _up(self, link: Link, message: m3ua.Message) -> None:
         number = message.number(Tag.ASP_ID)
         found = [peer for peer in self.peers.values() if peer.conf.asp == number] or (
-            list(self.peers.values()) if number is None and len(self.peers) == 1 else [])
+            list(self.peers.values()) if number is None and len(self.peers) == 1 else []
+        )
         if not found:
             self._error(link, Error.NO_AS_FOR_ASP)
             return
@@ -455,10 +465,19 @@
             self._error(link, Error.MISSING_PARAMETER)
             return
         peer = self.peers.get(transfer.opc)
-        if peer is not link.peer_of or peer is None or transfer.dpc != self.conf.point_code or (
-                transfer.si != m3ua.SI_ISUP):
-            log.warning("message for nobody here dropped: peer=%s opc=%d dpc=%d si=%d", link.peer,
-                        transfer.opc, transfer.dpc, transfer.si)
+        if (
+            peer is not link.peer_of
+            or peer is None
+            or transfer.dpc != self.conf.point_code
+            or (transfer.si != m3ua.SI_ISUP)
+        ):
+            log.warning(
+                "message for nobody here dropped: peer=%s opc=%d dpc=%d si=%d",
+                link.peer,
+                transfer.opc,
+                transfer.dpc,
+                transfer.si,
+            )
             return
         try:
             heard = isup.decode(transfer.user)
@@ -500,16 +519,18 @@
         peer.by_ref[ref] = circuit
         peer.tell()
         peer.send(isup.Message(circuit.cic, isup.Type.ACM))
-        self.life.take(Request(
-            ref=ref,
-            class_name=class_name,
-            left_us=known.patience_ms * 1000 if known else 0,
-            destination=self._destination(heard.number),
-            number=heard.number,
-            description=heard.description,
-            received_us=now_us(),
-            origin=self.origins[peer.conf.point_code],
-        ))
+        self.life.take(
+            Request(
+                ref=ref,
+                class_name=class_name,
+                left_us=known.patience_ms * 1000 if known else 0,
+                destination=self._destination(heard.number),
+                number=heard.number,
+                description=heard.description,
+                received_us=now_us(),
+                origin=self.origins[peer.conf.point_code],
+            )
+        )
 
     def _destination(self, number: str) -> int:
         """The cell of the longest prefix that fits; -1 for none."""
--- a/barleywheel/fronts/platform.py
+++ b/barleywheel/fronts/platform.py
@@ -120,8 +120,11 @@
 
     def _quiet(self) -> list[Caller]:
         """Connections on which no set-up is open and nothing waits to be written or made whole."""
-        return [caller for caller in self.callers
-                if not caller.refs and caller.conn.clear and not len(caller.conn.buffer)]
+        return [
+            caller
+            for caller in self.callers
+            if not caller.refs and caller.conn.clear and not len(caller.conn.buffer)
+        ]
 
     def _make_room(self) -> bool:
         """Close a connection on which nothing is open: one that never asked, else the one longest quiet."""
@@ -194,8 +197,10 @@
         host = conn.peer.partition(":")[0] if conn is not None else ""
         # Guards releases against peers that are no callers, and against those that left unnoticed: those
         # whose calls stood first, the same machine among them, then those that spoke last.
-        others = sorted((caller for caller in reversed(self.callers) if caller.trust),
-                        key=lambda caller: (-caller.trust, not caller.conn.peer.startswith(host + ":")))
+        others = sorted(
+            (caller for caller in reversed(self.callers) if caller.trust),
+            key=lambda caller: (-caller.trust, not caller.conn.peer.startswith(host + ":")),
+        )
         if not any(c.write(data) for c in conns + [caller.conn for caller in others]):
             self.waiting[ref] = cause
             self.deadlines.at(now_us() + RELEASE_KEPT_US, lambda: self.waiting.pop(ref, None))
--- a/barleywheel/fuzz/rules.py
+++ b/barleywheel/fuzz/rules.py
@@ -377,8 +377,9 @@
 
     def reachable(self) -> bool:
         """Whether some connection is open that a release to callers may go to."""
-        return any(one.open and one in self.known and one not in self.dirty
-                   for one in self.world.callers.values())
+        return any(
+            one.open and one in self.known and one not in self.dirty for one in self.world.callers.values()
+        )
 
     def duty(self, what: str, ref: str, within_us: int) -> None:
         """Something must be seen before long."""
@@ -490,8 +491,12 @@
                 offer.owed = False
                 self.breach("no answer", f"{offer.ref}, due {now - offer.due_us} us ago")
             left_us = offer.given_up_us
-            if left_us is not None and offer.tries and offer.tries[-1].end_us is None and (
-                    now > left_us + CANCEL_US):
+            if (
+                left_us is not None
+                and offer.tries
+                and offer.tries[-1].end_us is None
+                and (now > left_us + CANCEL_US)
+            ):
                 offer.tries[-1].end_us = now
                 late = f"{now - left_us} us after its caller gave it up"
                 self.breach("not cancelled", f"{offer.ref} at {offer.tries[-1].where}, {late}")
--- a/barleywheel/fuzz/worker.py
+++ b/barleywheel/fuzz/worker.py
@@ -45,10 +45,7 @@
                 finding(found)
 
     done = fuzzing.run(seconds, inputs, tell)
-    say(
-        target=target.name,
-        kept=[{"note": one.note, **corpus.to_json(one.input)} for one in done.kept]
-    )
+    say(target=target.name, kept=[{"note": one.note, **corpus.to_json(one.input)} for one in done.kept])
 
 
 def by_hypothesis(target: Target, seed: int, seconds: float) -> None:
--- a/barleywheel/interface.py
+++ b/barleywheel/interface.py
@@ -235,9 +235,7 @@
     room: int  # bit c is set where a call in transit finds circuits towards exchange c
 
 
-Event = (
-    Discovery | CallOffered | CallStands | AttemptEnded | CallerGone | TimerDue | LoadSeen | PeerReport
-)
+Event = Discovery | CallOffered | CallStands | AttemptEnded | CallerGone | TimerDue | LoadSeen | PeerReport
 
 
 @dataclass(slots=True)
@@ -304,6 +302,4 @@
     """Ask discovery once for the whole list."""
 
 
-Action = (
-    SetUp | Refuse | Fail | Cancel | SetTimer | Probe | PeerReport | Log | Subscribe | FetchList
-)
+Action = SetUp | Refuse | Fail | Cancel | SetTimer | Probe | PeerReport | Log | Subscribe | FetchList
--- a/barleywheel/net/connection.py
+++ b/barleywheel/net/connection.py
@@ -28,8 +28,9 @@
     ``first`` says so: half a message would hold its place for good.
     """
 
-    def __init__(self, sock: sockets.Socket, peer: str, deadlines: Deadlines, patience_us: int,
-                 first: bool = True) -> None:
+    def __init__(
+        self, sock: sockets.Socket, peer: str, deadlines: Deadlines, patience_us: int, first: bool = True
+    ) -> None:
         self.sock, self.peer = sock, peer
         self.open, self.reset = True, False
         self.buffer = Buffer()
--- a/barleywheel/net/hubs.py
+++ b/barleywheel/net/hubs.py
@@ -75,8 +75,11 @@
         A call that goes to the same hub again takes one that has not carried it: hubs answer every INVITE of
         a call as CSeq 1, so only the connection tells its answers apart.
         """
-        ready = [c for c in self.conns if c.clear and not c.suspect and not len(c.buffer)
-                 and (call is None or c not in call.marks)]
+        ready = [
+            c
+            for c in self.conns
+            if c.clear and not c.suspect and not len(c.buffer) and (call is None or c not in call.marks)
+        ]
         return min(ready, key=lambda c: len(c.setups)) if ready else None
 
 
@@ -162,7 +165,8 @@
     def _replaced(self, hub: Hub) -> bool:
         """A new hub may have the address of one that drains or is gone."""
         return not self.facade.ready(hub.name) and any(
-            other.address == hub.address and self.facade.ready(other.name) for other in self.hubs.values())
+            other.address == hub.address and self.facade.ready(other.name) for other in self.hubs.values()
+        )
 
     def _connect(self, hub: Hub) -> HubConnection | None:
         """Open a connection; blocks until it is up, refused or timed out."""
@@ -259,8 +263,14 @@
         now, cseq = now_us(), attempt.call.marks.get(conn, 0) + 1
         attempt.call.marks[conn] = cseq
         left_us = attempt.started_us + attempt.limit_us - now
-        data = sip.invite(request.ref, cseq, request.number, request.class_name,
-                          max(1, left_us // 1000), request.description)
+        data = sip.invite(
+            request.ref,
+            cseq,
+            request.number,
+            request.class_name,
+            max(1, left_us // 1000),
+            request.description,
+        )
         attempt.sent_us, attempt.slot = now, Slot(conn, cseq, request.number)
         conn.setups[request.ref, cseq] = attempt
         if not conn.write(data):
@@ -303,8 +313,11 @@
             return
         slot.conn.bury((ref, slot.cseq))
         slot.conn.write(sip.request("CANCEL", f"sip:{slot.number}@net", ref, slot.cseq))
-        if slot.conn.heard_us < attempt.sent_us and attempt.outcome is not None and (
-                attempt.outcome.end is End.TIMEOUT):
+        if (
+            slot.conn.heard_us < attempt.sent_us
+            and attempt.outcome is not None
+            and (attempt.outcome.end is End.TIMEOUT)
+        ):
             slot.conn.suspect = True  # the machine may have vanished; a new connection will tell
             if (hub := self.hubs.get(attempt.hub)) is not None:
                 hub.wake.set()
@@ -343,8 +356,13 @@
         attempt = conn.setups.pop((ref, cseq), None)
         number = attempt.call.request.number if attempt else ""
         if attempt is None:
-            log.info("answer to no open attempt: hub=%s ref=%s cseq=%d status=%d", conn.peer, ref, cseq,
-                     message.status)
+            log.info(
+                "answer to no open attempt: hub=%s ref=%s cseq=%d status=%d",
+                conn.peer,
+                ref,
+                cseq,
+                message.status,
+            )
             if (ref, cseq) not in conn.dead:
                 # A second copy, or an id that is not ours: a BYE would cut the call that the first one made.
                 conn.write(sip.request("ACK", "sip:@net", ref, cseq))
@@ -361,7 +379,12 @@
         outcome = Outcome(ENDS.get(message.status, End.ERROR), note, load, at_us=now_us())
         conn.bury((ref, cseq))
         if outcome.end is End.ERROR:
-            log.info("set-up ended in error: hub=%s ref=%s status=%d note=%s", conn.peer, ref, message.status,
-                     message.headers.get("x-note", ""))
+            log.info(
+                "set-up ended in error: hub=%s ref=%s status=%d note=%s",
+                conn.peer,
+                ref,
+                message.status,
+                message.headers.get("x-note", ""),
+            )
         if (attempt is None or not attempt.end(outcome)) and load:
             self.facade.group(hub.name, load)
--- a/barleywheel/net/journal.py
+++ b/barleywheel/net/journal.py
@@ -72,8 +72,13 @@
             self.facade.hubs(event.endpoints, event.whole)
             self.hubs.update(event.endpoints, event.whole)
             for endpoint in event.endpoints:
-                log.info("hub list: hub=%s group=%s state=%s address=%s", endpoint.name, endpoint.cell,
-                         endpoint.status, endpoint.address)
+                log.info(
+                    "hub list: hub=%s group=%s state=%s address=%s",
+                    endpoint.name,
+                    endpoint.cell,
+                    endpoint.status,
+                    endpoint.address,
+                )
         self.pos = max(self.pos, last)
 
     def run(self) -> None:
@@ -97,8 +102,10 @@
             buffer, again = Buffer(), True
             while again:
                 sock.settimeout(STALL_S)
-                sock.sendall(f"GET /journal?tail={self.pos}&max_wait={HOLD_MS} HTTP/1.1\r\n"
-                             f"Host: {self.address}\r\n\r\n".encode())
+                sock.sendall(
+                    f"GET /journal?tail={self.pos}&max_wait={HOLD_MS} HTTP/1.1\r\n"
+                    f"Host: {self.address}\r\n\r\n".encode()
+                )
                 before, asked_us = self.pos, now_us()
                 again = self._poll(sock, buffer)
                 if again and self.pos == before and now_us() - asked_us < HOLD_MS * 500:
--- a/barleywheel/router.py
+++ b/barleywheel/router.py
@@ -27,8 +27,9 @@
 class Router:
     """One call router. ``reload`` is set where the configuration is to be read again by ``load``."""
 
-    def __init__(self, conf: config.Config, extras: config.Extras,
-                 load: Callable[[], config.Config] = config.load) -> None:
+    def __init__(
+        self, conf: config.Config, extras: config.Extras, load: Callable[[], config.Config] = config.load
+    ) -> None:
         self.deadlines = Deadlines()
         self.facade = Facade(conf.settings, conf.names, conf.seed, self.deadlines)
         self.standing = Standing(self.deadlines)
--- a/barleywheel/snmp/agent.py
+++ b/barleywheel/snmp/agent.py
@@ -97,7 +97,8 @@
             log.warning("SNMP message dropped: no SNMPv2c message")
             return None
         if int(v2c.apiMessage.get_version(message)) != 1 or (
-                bytes(v2c.apiMessage.get_community(message)) != self.community):
+            bytes(v2c.apiMessage.get_community(message)) != self.community
+        ):
             log.warning("SNMP message dropped: other version or community")
             return None
         pdu = v2c.apiMessage.get_pdu(message)
@@ -111,8 +112,9 @@
         elif pdu.isSameTypeWith(v2c.GetNextRequestPDU()):
             values = [self._next(view, order, tuple(name)) for name, _ in v2c.apiPDU.get_varbinds(pdu)]
         elif pdu.isSameTypeWith(v2c.GetRequestPDU()):
-            values = [(tuple(name), self._get(view, order, tuple(name)))
-                      for name, _ in v2c.apiPDU.get_varbinds(pdu)]
+            values = [
+                (tuple(name), self._get(view, order, tuple(name))) for name, _ in v2c.apiPDU.get_varbinds(pdu)
+            ]
         elif pdu.isSameTypeWith(v2c.SetRequestPDU()):
             values = None
         else:
@@ -139,8 +141,9 @@
         at = bisect_right(order, name)
         return (order[at], view[order[at]]) if at < len(order) else (name, v2c.EndOfMibView(""))
 
-    def _bulk(self, view: dict[Oid, Any], order: list[Oid], names: list[Oid], once: int,
-              times: int) -> list[tuple[Oid, Any]]:
+    def _bulk(
+        self, view: dict[Oid, Any], order: list[Oid], names: list[Oid], once: int, times: int
+    ) -> list[tuple[Oid, Any]]:
         found = [self._next(view, order, name) for name in names[:once]]
         names = names[once:]
         while names and times > 0 and len(found) + len(names) <= MOST_VARBINDS:
--- a/barleywheel/wire/journal.py
+++ b/barleywheel/wire/journal.py
@@ -71,8 +71,11 @@
 
 
 def _endpoint(one: Any) -> Endpoint:
-    if not isinstance(one, dict) or not isinstance(one.get("name"), str) or not (
-            0 < len(one["name"]) <= MOST_NAME):
+    if (
+        not isinstance(one, dict)
+        or not isinstance(one.get("name"), str)
+        or not (0 < len(one["name"]) <= MOST_NAME)
+    ):
         raise Malformed("an endpoint without a name")
     address = one.get("address")
     if address is not None and not _is_address(address):
@@ -83,8 +86,16 @@
     cell = _number(one.get("group") or 0, "group")
     if cell > MOST_CELL:
         raise Malformed("group")
-    return Endpoint(one["name"], cell, str(one.get("status")), address, str(one.get("zone", "")),
-                    str(one.get("type", "")), float(weight), _number(one.get("since_ms") or 0, "since_ms"))
+    return Endpoint(
+        one["name"],
+        cell,
+        str(one.get("status")),
+        address,
+        str(one.get("zone", "")),
+        str(one.get("type", "")),
+        float(weight),
+        _number(one.get("since_ms") or 0, "since_ms"),
+    )
 
 
 def _is_address(value: object) -> bool:
--- a/barleywheel/wire/jsonlines.py
+++ b/barleywheel/wire/jsonlines.py
@@ -35,8 +35,13 @@
     return message
 
 
-def encode(kind: str, ref: str, fields: dict[str, Any] | None = None, cause: int | None = None,
-           description: bytes | None = None) -> bytes:
+def encode(
+    kind: str,
+    ref: str,
+    fields: dict[str, Any] | None = None,
+    cause: int | None = None,
+    description: bytes | None = None,
+) -> bytes:
     """One line."""
     message: dict[str, Any] = {"t": kind, "ref": ref, "f": fields or {}}
     if cause is not None:
--- a/barleywheel/wire/m3ua.py
+++ b/barleywheel/wire/m3ua.py
@@ -137,8 +137,9 @@
 def data(transfer: Transfer, context: int) -> bytes:
     """DATA."""
     head = ROUTING.pack(transfer.opc, transfer.dpc, transfer.si, transfer.ni, 0, transfer.sls)
-    return encode(Kind.DATA, {Tag.ROUTING_CONTEXT: context.to_bytes(4, "big"),
-                              Tag.PROTOCOL_DATA: head + transfer.user})
+    return encode(
+        Kind.DATA, {Tag.ROUTING_CONTEXT: context.to_bytes(4, "big"), Tag.PROTOCOL_DATA: head + transfer.user}
+    )
 
 
 def transferred(message: Message) -> Transfer | None:
--- a/barleywheel/wire/sip.py
+++ b/barleywheel/wire/sip.py
@@ -88,8 +88,11 @@
         return None
     message.body = buffer.take(size)[end + 4 :]
     # A length that does not fit shows in what follows, or in a body that has taken in the next message.
-    if START.search(message.body) or (rest := buffer.peek(24)) and not (
-            rest.startswith(b"\r") or OPENING.match(rest)):
+    if (
+        START.search(message.body)
+        or (rest := buffer.peek(24))
+        and not (rest.startswith(b"\r") or OPENING.match(rest))
+    ):
         raise Malformed("Content-Length does not fit")
     return message
 
@@ -120,18 +123,33 @@
     return message
 
 
-def request(method: str, uri: str, call_id: str, cseq: int, more: tuple[str, ...] = (),
-            body: bytes = b"") -> bytes:
+def request(
+    method: str, uri: str, call_id: str, cseq: int, more: tuple[str, ...] = (), body: bytes = b""
+) -> bytes:
     """Encode a request."""
-    lines = (f"{method} {uri} SIP/2.0", "Via: SIP/2.0/TCP peer", f"Call-ID: {call_id}",
-             f"CSeq: {cseq} {method}", *more, f"Content-Length: {len(body)}", "", "")
+    lines = (
+        f"{method} {uri} SIP/2.0",
+        "Via: SIP/2.0/TCP peer",
+        f"Call-ID: {call_id}",
+        f"CSeq: {cseq} {method}",
+        *more,
+        f"Content-Length: {len(body)}",
+        "",
+        "",
+    )
     return "\r\n".join(lines).encode() + body
 
 
 def invite(call_id: str, cseq: int, number: str, class_name: str, patience_ms: int, body: bytes) -> bytes:
     """Encode a set-up."""
-    return request("INVITE", f"sip:{number}@net", call_id, cseq,
-                   (f"Subject: {class_name}", f"X-Patience: {patience_ms}"), body)
+    return request(
+        "INVITE",
+        f"sip:{number}@net",
+        call_id,
+        cseq,
+        (f"Subject: {class_name}", f"X-Patience: {patience_ms}"),
+        body,
+    )
 
 
 def bye(call_id: str, cseq: int, number: str, cause: int) -> bytes:
@@ -141,6 +159,9 @@
 
 def response(status: int, reason: str, to: Message) -> bytes:
     """Encode an answer to a request of the other side."""
-    echoed = [f"{name}: {to.headers[key]}" for name, key in
-              (("Via", "via"), ("Call-ID", "call-id"), ("CSeq", "cseq")) if key in to.headers]
+    echoed = [
+        f"{name}: {to.headers[key]}"
+        for name, key in (("Via", "via"), ("Call-ID", "call-id"), ("CSeq", "cseq"))
+        if key in to.headers
+    ]
     return "\r\n".join([f"SIP/2.0 {status} {reason}", *echoed, "Content-Length: 0", "", ""]).encode()
--- a/tests/m3uarig.py
+++ b/tests/m3uarig.py
@@ -35,8 +35,10 @@
 
 
 def encode(code: int, params: dict[int, bytes]) -> bytes:
-    body = b"".join(struct.pack(">HH", tag, 4 + len(value)) + value + bytes(-len(value) % 4)
-                    for tag, value in params.items())
+    body = b"".join(
+        struct.pack(">HH", tag, 4 + len(value)) + value + bytes(-len(value) % 4)
+        for tag, value in params.items()
+    )
     return struct.pack(">BBHI", 1, 0, code, 8 + len(body)) + body
 
 
@@ -87,8 +89,9 @@
         head = struct.pack(">IIBBBB", opc, dpc, 5, 2, 0, cic & 15)
         self.send(DATA, {0x06: b"\0\0\0\1", 0x210: head + struct.pack("<HB", cic, kind) + body})
 
-    def iam(self, cic: int, description: bytes = b"", category: int = 10,
-            digits: bytes = b"\xf7\xa3") -> None:
+    def iam(
+        self, cic: int, description: bytes = b"", category: int = 10, digits: bytes = b"\xf7\xa3"
+    ) -> None:
         """The digits are swapped pairs: 7f3a."""
         called = b"\x03\x10" + digits
         options = b"\x20" + bytes([len(description)]) + description + b"\0" if description else b""
--- a/tests/netrig.py
+++ b/tests/netrig.py
@@ -22,12 +22,16 @@
 BODY = b"9d41c07a5be2f318\r\nc=IN IP4 10.4.7.9\r\n\xff\xfe\r\n"
 SETTINGS: dict[str, Any] = {
     "balancers": 3,
-    "classes": [{"name": "voice", "aim_us": 1200000, "hard_limit_us": 9000000, "worth": 1.0},
-                {"name": "gold", "aim_us": 800000, "hard_limit_us": 6000000, "worth": 8.0}],
+    "classes": [
+        {"name": "voice", "aim_us": 1200000, "hard_limit_us": 9000000, "worth": 1.0},
+        {"name": "gold", "aim_us": 800000, "hard_limit_us": 6000000, "worth": 8.0},
+    ],
     "family_info": {"home_no": 0, "layout": "mesh", "guard_us": 300000},
     "limits": {"cancel": True, "send_cap": 4, "connect_timeout_us": 300000},
     "report": {"fields": ["free", "size", "pending", "can_take"], "how": "answers"},
-    "tick_us": 5000, "zones": ["east"], "kinds": ["std"],
+    "tick_us": 5000,
+    "zones": ["east"],
+    "kinds": ["std"],
 }
 
 
@@ -87,8 +91,9 @@
 class Hub:
     """A build hub. Group state comes first on a connection; set-ups go to ``auto`` and to the inbox."""
 
-    def __init__(self, name: str, cell: int, auto: Callable[[Sip], object] | None = None,
-                 free: int = 20) -> None:
+    def __init__(
+        self, name: str, cell: int, auto: Callable[[Sip], object] | None = None, free: int = 20
+    ) -> None:
         self.name, self.cell, self.auto, self.free = name, cell, auto, free
         self.heard: Inbox[Sip] = Inbox()
         self.conns: list[socket.socket] = []
@@ -114,8 +119,10 @@
     def say(self, sock: socket.socket, first: str, ref: str, more: str = "") -> None:
         """Send a request of the hub's own."""
         method = first.split()[0]
-        sock.sendall(f"{first} SIP/2.0\r\nVia: SIP/2.0/TCP hub\r\nCall-ID: {ref}\r\n"
-                     f"CSeq: 7 {method}\r\n{more}Content-Length: 0\r\n\r\n".encode())
+        sock.sendall(
+            f"{first} SIP/2.0\r\nVia: SIP/2.0/TCP hub\r\nCall-ID: {ref}\r\n"
+            f"CSeq: 7 {method}\r\n{more}Content-Length: 0\r\n\r\n".encode()
+        )
 
     def bye(self, ref: str, cause: int) -> None:
         self.say(self.conns[-1], "BYE sip:a@net", ref, f"Reason: Q.850;cause={cause}\r\n")
@@ -164,12 +171,24 @@
         started(self._accept)
 
     def tell(self, *hubs: Hub, status: str = "Ready", snapshot: bool = False, since: int = 0) -> None:
-        endpoints = [{"name": hub.name, "address": f"127.0.0.1:{hub.port}", "zone": "east", "type": "std",
-                      "group": hub.cell, "status": status, "weight": 1, "since_ms": since} for hub in hubs]
+        endpoints = [
+            {
+                "name": hub.name,
+                "address": f"127.0.0.1:{hub.port}",
+                "zone": "east",
+                "type": "std",
+                "group": hub.cell,
+                "status": status,
+                "weight": 1,
+                "since_ms": since,
+            }
+            for hub in hubs
+        ]
         with self.changed:
             pos = len(self.entries) + 1
-            self.entries.append({"pos": pos, "hosts": {"index": pos, "snapshot": snapshot,
-                                                       "endpoints": endpoints}})
+            self.entries.append(
+                {"pos": pos, "hosts": {"index": pos, "snapshot": snapshot, "endpoints": endpoints}}
+            )
             self.changed.notify_all()
 
     def after(self, tail: int) -> dict[str, Any]:
@@ -227,8 +246,9 @@
 class World:
     """The program among its stand-ins."""
 
-    def __init__(self, tmp: Path, hubs: list[Hub], args: tuple[str, ...] = (), sockets: int = 256,
-                 **changes: Any) -> None:
+    def __init__(
+        self, tmp: Path, hubs: list[Hub], args: tuple[str, ...] = (), sockets: int = 256, **changes: Any
+    ) -> None:
         self.tmp, self.args, self.hubs, self.journal = tmp, args, hubs, Journal()
         self.limits = {"sockets": sockets, "memory_mb": 64}
         self.settings = SETTINGS | changes
@@ -238,11 +258,16 @@
         self.start()
 
     def config(self) -> str:
-        return json.dumps({
-            "name": "n0", "seed": "8c1f30d27a5be964", "limits": self.limits,
-            "journal": f"127.0.0.1:{self.journal.listener.getsockname()[1]}",
-            "known": self.journal.after(0), "settings": self.settings,
-        })
+        return json.dumps(
+            {
+                "name": "n0",
+                "seed": "8c1f30d27a5be964",
+                "limits": self.limits,
+                "journal": f"127.0.0.1:{self.journal.listener.getsockname()[1]}",
+                "known": self.journal.after(0),
+                "settings": self.settings,
+            }
+        )
 
     def start(self) -> None:
         config = self.tmp / "config.json"
@@ -250,8 +275,9 @@
         listen = f"127.0.0.1:{self.address[1]}"
         env = os.environ | {"LB_CONFIG": str(config), "LB_LISTEN": listen, "LB_NAME": "n0"}
         self.log = (self.tmp / "log").open("a+")
-        self.process = subprocess.Popen([sys.executable, "-m", "barleywheel", *self.args], cwd=ROOT, env=env,
-                                        stderr=self.log)
+        self.process = subprocess.Popen(
+            [sys.executable, "-m", "barleywheel", *self.args], cwd=ROOT, env=env, stderr=self.log
+        )
         self.wait_for(lambda: "serving:" in self.logged() or self.process.poll() is not None)
         assert self.process.poll() is None, self.logged()
         for hub in self.hubs:  # its first connection is opened early, so that circuits are known
--- a/tests/test_benchlink.py
+++ b/tests/test_benchlink.py
@@ -151,14 +151,24 @@
 
 def test_every_action_is_encoded() -> None:
     made: list[api.Action] = [
-        api.SetUp(1, xid(1), 5), api.Refuse(1), api.Fail(1), api.Cancel(1, 0), api.SetTimer(1, 2),
-        api.Probe(xid(1)), api.PeerReport(4, 0.5, 9), api.Log("text"), api.Subscribe(), api.FetchList(),
+        api.SetUp(1, xid(1), 5),
+        api.Refuse(1),
+        api.Fail(1),
+        api.Cancel(1, 0),
+        api.SetTimer(1, 2),
+        api.Probe(xid(1)),
+        api.PeerReport(4, 0.5, 9),
+        api.Log("text"),
+        api.Subscribe(),
+        api.FetchList(),
     ]
     assert [benchlink.encode(3, a)[0] for a in made] == [65, 66, 67, 68, 69, 70, 72, 73, 75, 76]
     assert benchlink.encode(3, api.PeerReport(7, 1.0, 0x102)) == bytes.fromhex(
-        "48000c0000000300ffff0600c10700ff0201")
+        "48000c0000000300ffff0600c10700ff0201"
+    )
     assert benchlink.encode(3, api.SetTimer(77, 8881786)) == bytes.fromhex(
-        "45000e00000003004d0000007a86870000000000")
+        "45000e00000003004d0000007a86870000000000"
+    )
 
 
 @pytest.mark.parametrize("room", [0, 1, 1 << 59, (1 << 60) - 1])
--- a/tests/test_brain.py
+++ b/tests/test_brain.py
@@ -219,7 +219,8 @@
 @pytest.mark.parametrize("outcome", [Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED, Outcome.ERROR])
 @pytest.mark.parametrize("effect", list(api.Effect))
 def test_rule_5_a_call_that_may_have_run_is_failed_and_never_sent_again(
-        outcome: Outcome, effect: api.Effect) -> None:
+    outcome: Outcome, effect: api.Effect
+) -> None:
     rig = Rig(classes=[api.ClassOfCall(aim_us=SECOND, deadline_us=9 * SECOND, effect=effect)])
     rig.circuits(1, 0)
     (sent,) = only(rig.offer(1), api.SetUp)
@@ -723,11 +724,16 @@
 
 @pytest.mark.parametrize(
     ("changes", "ended", "sent"),
-    [({}, {}, 4), ({"effect": api.Effect.GUARDED}, {}, 1), ({}, {"cause": Cause.LINES_ENGAGED}, 1),
-     ({"aim_us": 150_000}, {}, 2)],  # the third would come after the aim
+    [
+        ({}, {}, 4),
+        ({"effect": api.Effect.GUARDED}, {}, 1),
+        ({}, {"cause": Cause.LINES_ENGAGED}, 1),
+        ({"aim_us": 150_000}, {}, 2),
+    ],  # the third would come after the aim
 )
 def test_a_harmless_call_that_ends_in_error_is_sent_again_at_once(
-        changes: dict[str, Any], ended: dict[str, Any], sent: int) -> None:
+    changes: dict[str, Any], ended: dict[str, Any], sent: int
+) -> None:
     """Three more times, to the same exchange; errors may be a share of all only."""
     rig = Rig(classes=[api.ClassOfCall(**{"aim_us": SECOND, "deadline_us": 9 * SECOND} | changes)])
     rig.offer(1)
--- a/tests/test_fuzz.py
+++ b/tests/test_fuzz.py
@@ -20,15 +20,28 @@
 from tests.netrig import ROOT
 
 CORPUS = ROOT / "fuzz" / "corpus"
-KEPT = [pytest.param(name, at, id=f"{name}-{at}") for name in TARGETS
-        for at in range(0, len(corpus.load(CORPUS / f"{name}.jsonl")), 50)]
-CALL = [["mode", 1, "stand", 5000], ["new", 0, 0, 1, False, 3000, "", 0], ["wait", 20000], ["bye", 1, 0, 16],
-        ["wait", 1000]]
+KEPT = [
+    pytest.param(name, at, id=f"{name}-{at}")
+    for name in TARGETS
+    for at in range(0, len(corpus.load(CORPUS / f"{name}.jsonl")), 50)
+]
+CALL = [
+    ["mode", 1, "stand", 5000],
+    ["new", 0, 0, 1, False, 3000, "", 0],
+    ["wait", 20000],
+    ["bye", 1, 0, 16],
+    ["wait", 1000],
+]
 
 
 def fuzz(*words: str) -> subprocess.CompletedProcess[str]:
-    return subprocess.run([sys.executable, "-m", "barleywheel", "fuzz", *words], cwd=ROOT, text=True,
-                          capture_output=True, timeout=120)
+    return subprocess.run(
+        [sys.executable, "-m", "barleywheel", "fuzz", *words],
+        cwd=ROOT,
+        text=True,
+        capture_output=True,
+        timeout=120,
+    )
 
 
 @pytest.mark.parametrize(("name", "at"), KEPT)
@@ -70,8 +83,11 @@
     target, source = TARGETS["router"], Seeded(1)
     assert target.make is not None
     tried = (target.make(source) for _ in range(200))
-    found, breach = next((steps, breaches[0]) for steps in tried
-                         if (breaches := target.check(steps)[0]) and breaches[0].rule == "second answer")
+    found, breach = next(
+        (steps, breaches[0])
+        for steps in tried
+        if (breaches := target.check(steps)[0]) and breaches[0].rule == "second answer"
+    )
     small = smallest(target, found, breach)
     assert len(small.input) <= 3
     monkeypatch.undo()
@@ -100,21 +116,51 @@
 
 
 def test_a_run_ends_with_0_where_nothing_is_found(tmp_path: Path) -> None:
-    done = fuzz("run", "--target", "isup", "--target", "module", "--inputs", "30", "--seconds", "0",
-                "--jobs", "2", "--corpus", str(tmp_path), "--found", str(tmp_path))
+    done = fuzz(
+        "run",
+        "--target",
+        "isup",
+        "--target",
+        "module",
+        "--inputs",
+        "30",
+        "--seconds",
+        "0",
+        "--jobs",
+        "2",
+        "--corpus",
+        str(tmp_path),
+        "--found",
+        str(tmp_path),
+    )
     assert done.returncode == 0 and done.stdout.count("30 inputs") == 2, done.stdout + done.stderr
 
 
-@pytest.mark.parametrize("words", [
-    ("run", "--target", "nobody"), ("replay", "/nowhere/found.json"), ("run", "--seconds", "0"),
-    ("run", "--engine", "magic"), ("run", "--engine", "atheris", "--target", "router")])
+@pytest.mark.parametrize(
+    "words",
+    [
+        ("run", "--target", "nobody"),
+        ("replay", "/nowhere/found.json"),
+        ("run", "--seconds", "0"),
+        ("run", "--engine", "magic"),
+        ("run", "--engine", "atheris", "--target", "router"),
+    ],
+)
 def test_bad_usage_is_one_line_and_exit_code_2(words: tuple[str, ...]) -> None:
     done = fuzz(*words)
     assert done.returncode == 2 and done.stderr.startswith("barleywheel: ") and done.stderr.count("\n") == 1
 
 
-@pytest.mark.parametrize("text", ["", "{", '{"version": 9, "target": "router", "steps": []}',
-                                  '{"version": 1}', '{"version": 1, "target": "router", "steps": [7]}'])
+@pytest.mark.parametrize(
+    "text",
+    [
+        "",
+        "{",
+        '{"version": 9, "target": "router", "steps": []}',
+        '{"version": 1}',
+        '{"version": 1, "target": "router", "steps": [7]}',
+    ],
+)
 def test_a_file_that_is_no_finding_is_one_line_and_exit_code_2(tmp_path: Path, text: str) -> None:
     path = tmp_path / "found.json"
     path.write_text(text)
--- a/tests/test_m3ua.py
+++ b/tests/test_m3ua.py
@@ -40,8 +40,14 @@
 
 
 @contextmanager
-def front(tmp: Path, *hubs: Hub, cell: int | None = None, circuits: int = 8, rlc_ms: int = 60000,
-          beat_ms: int = 60000) -> Iterator[tuple[World, Peer]]:
+def front(
+    tmp: Path,
+    *hubs: Hub,
+    cell: int | None = None,
+    circuits: int = 8,
+    rlc_ms: int = 60000,
+    beat_ms: int = 60000,
+) -> Iterator[tuple[World, Peer]]:
     with socket.create_server(("127.0.0.1", 0)) as free:
         port = free.getsockname()[1]
     conf = tmp / "m3ua.toml"
@@ -220,8 +226,10 @@
             peer.iam(cic, text)
         for cic in (1, 2):
             peer.call(ANM, cic)
-        kept, released, waiting = (hub.heard.take(lambda m, t=t: m.body == t)  # type: ignore[misc]
-                                   for t in (b"up kept", b"up released", b"open"))
+        kept, released, waiting = (
+            hub.heard.take(lambda m, t=t: m.body == t)  # type: ignore[misc]
+            for t in (b"up kept", b"up released", b"open")
+        )
         peer.drop()
         hub.heard.take(lambda m: (m.method, m.ref) == ("CANCEL", waiting.ref))
         hub.bye(released.ref, 16)
@@ -324,8 +332,15 @@
         made.wait_for(lambda: "no answer to BEAT" in made.logged())
 
 
-@pytest.mark.parametrize("data", [b"\1\0\1\1\0\0\0\3", b"\1\0\1\1\7\0\0\0", b"GET / HTTP/1.1\r\n\r\n",
-                                  struct.pack(">BBHIHH", 1, 0, 0x101, 12, 0x210, 400)])
+@pytest.mark.parametrize(
+    "data",
+    [
+        b"\1\0\1\1\0\0\0\3",
+        b"\1\0\1\1\7\0\0\0",
+        b"GET / HTTP/1.1\r\n\r\n",
+        struct.pack(">BBHIHH", 1, 0, 0x101, 12, 0x210, 400),
+    ],
+)
 def test_garbage_closes_that_link_only(tmp_path: Path, data: bytes) -> None:
     with front(tmp_path, Hub("h1", 1, stands)) as (made, peer):
         peer.connect()
@@ -388,8 +403,10 @@
             caller.new(f"{cic:016x}", body=f"j:{step}".encode())
 
         def answers(cic: int) -> tuple[rig.Heard, dict[str, Any]]:
-            return (peer.heard.take(lambda m: m.cic == cic and m.type in (ANM, REL)),
-                    caller.heard.take(lambda m: m["ref"] == f"{cic:016x}"))
+            return (
+                peer.heard.take(lambda m: m.cic == cic and m.type in (ANM, REL)),
+                caller.heard.take(lambda m: m["ref"] == f"{cic:016x}"),
+            )
 
         def both(cic: int, step: str) -> tuple[str, int, bytes]:
             """The same call on both fronts at once; the answers are the same."""
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -217,8 +217,9 @@
         (503, "remote_throttled", (42,), False),
     ],
 )
-def test_refusals_of_a_hub(tmp_path: Path, status: int, note: str, causes: tuple[int, ...],
-                           second: bool) -> None:
+def test_refusals_of_a_hub(
+    tmp_path: Path, status: int, note: str, causes: tuple[int, ...], second: bool
+) -> None:
     direct, tandem = Hub("h1", 1, refuses(status, note)), Hub("h2", 2, stands)
     with world(tmp_path, direct, tandem) as made:
         caller = made.caller()
@@ -472,9 +473,17 @@
 
 @pytest.mark.parametrize(
     "line",
-    [b"no json\n", b"[]\n", b'{"t":"new","ref":"zz","f":{}}\n', b'{"t":5}\n', b"{" * 20000 + b"\n",
-     b"x" * 17000, b'{"t":"new","ref":"9b1f03aa5c7e2d41","f":3}\n', b"\xff\n",
-     b'{"t":"tell","ref":"9b1f03aa5c7e2d41","f":{}}\n'],
+    [
+        b"no json\n",
+        b"[]\n",
+        b'{"t":"new","ref":"zz","f":{}}\n',
+        b'{"t":5}\n',
+        b"{" * 20000 + b"\n",
+        b"x" * 17000,
+        b'{"t":"new","ref":"9b1f03aa5c7e2d41","f":3}\n',
+        b"\xff\n",
+        b'{"t":"tell","ref":"9b1f03aa5c7e2d41","f":{}}\n',
+    ],
 )
 def test_malformed_input_closes_that_connection_only(tmp_path: Path, line: bytes) -> None:
     hub = Hub("h1", 1, stands)
@@ -489,10 +498,22 @@
 
 @pytest.mark.parametrize(
     "fields",
-    [{"class": "no such"}, {"left": "soon"}, {"left": "-5"}, {"left": "nan"}, {"extras": "dest:x"},
-     {"extras": ""}, {"key": "a\r\nX: y"}, {"key": ""}, {"left": "10100"}, {"extras": "dest:1;width:nan"},
-     {"extras": "dest:1;width:0"}, {"extras": "dest:1;width:1e9"}, {"extras": "dest:1;via:x"},
-     {"body": "y" * 15_950}],
+    [
+        {"class": "no such"},
+        {"left": "soon"},
+        {"left": "-5"},
+        {"left": "nan"},
+        {"extras": "dest:x"},
+        {"extras": ""},
+        {"key": "a\r\nX: y"},
+        {"key": ""},
+        {"left": "10100"},
+        {"extras": "dest:1;width:nan"},
+        {"extras": "dest:1;width:0"},
+        {"extras": "dest:1;width:1e9"},
+        {"extras": "dest:1;via:x"},
+        {"body": "y" * 15_950},
+    ],
 )
 def test_calls_that_nobody_could_serve_fail_at_once(tmp_path: Path, fields: dict[str, Any]) -> None:
     hub = Hub("h1", 1, stands)
@@ -517,8 +538,12 @@
 
 @pytest.mark.parametrize(
     "garbage",
-    [b"GET / HTTP/1.1\r\n\r\n", b"x" * 17000, b"SIP/2.0 200 OK\r\nnocolon\r\n\r\n",
-     b"SIP/2.0 200 OK\r\nContent-Length: 99999\r\n\r\n"],
+    [
+        b"GET / HTTP/1.1\r\n\r\n",
+        b"x" * 17000,
+        b"SIP/2.0 200 OK\r\nnocolon\r\n\r\n",
+        b"SIP/2.0 200 OK\r\nContent-Length: 99999\r\n\r\n",
+    ],
 )
 def test_a_hubs_garbage_closes_that_connection_only(tmp_path: Path, garbage: bytes) -> None:
     hub = Hub("h1", 1, stands)
@@ -589,16 +614,22 @@
 
 @pytest.mark.parametrize(
     "text",
-    [None, "no json", "{}", json.dumps({"settings": {"classes": []}}),
-     json.dumps({"settings": {"classes": [{"hard_limit_us": 1}]}, "journal": "x"})],
+    [
+        None,
+        "no json",
+        "{}",
+        json.dumps({"settings": {"classes": []}}),
+        json.dumps({"settings": {"classes": [{"hard_limit_us": 1}]}, "journal": "x"}),
+    ],
 )
 def test_bad_configuration_is_one_line_and_exit_2(tmp_path: Path, text: str | None) -> None:
     file = tmp_path / "config.json"
     if text is not None:
         file.write_text(text)
     env = os.environ | {"LB_CONFIG": str(file), "LB_LISTEN": "127.0.0.1:0"}
-    done = subprocess.run([sys.executable, "-m", "barleywheel"], cwd=ROOT, env=env, capture_output=True,
-                          timeout=60, check=False)
+    done = subprocess.run(
+        [sys.executable, "-m", "barleywheel"], cwd=ROOT, env=env, capture_output=True, timeout=60, check=False
+    )
     assert done.returncode == 2 and len(done.stderr.splitlines()) == 1
 
 
--- a/tests/test_snmp.py
+++ b/tests/test_snmp.py
@@ -55,7 +55,8 @@
             objects = [n if isinstance(n, ObjectType) else ObjectType(ObjectIdentity(n)) for n in names]
             engine = SnmpEngine()
             fault, status, _, found = await command(
-                engine, CommunityData(self.community, mpModel=1), target, ContextData(), *before, *objects)
+                engine, CommunityData(self.community, mpModel=1), target, ContextData(), *before, *objects
+            )
             engine.close_dispatcher()
             return fault or int(status), [(str(name), value.prettyPrint()) for name, value in found]
 
@@ -110,7 +111,7 @@
         made.wait_for(lambda: "Terminating" in made.logged())
         assert client.ask(get_cmd, f"{ROOT}.4.1.4.{hubs['h1']}")[1][0][1] == "2"
 
-        (_, value), = client.ask(get_cmd, f"{ROOT}.1.99.0")[1]
+        ((_, value),) = client.ask(get_cmd, f"{ROOT}.1.99.0")[1]
         assert "No Such" in value
         written = ObjectType(ObjectIdentity(f"{ROOT}.1.1.0"), Integer32(5))
         assert client.ask(set_cmd, written)[0] == 17  # notWritable
