--- a/barleywheel/__main__.py
+++ b/barleywheel/__main__.py
@@ -42,8 +42,8 @@
     """Route calls until told to stop."""
     logging.basicConfig(stream=sys.stderr, level=logging.INFO, format="%(asctime)s %(levelname)s %(message)s")
     try:
-        conf, extras = config.load(), config.extras(arguments().extras)
-        router = Router(conf, extras)
+        conf, operator = config.load(), config.load_operator_config(arguments().extras)
+        router = Router(conf, operator)
         gevent.signal_handler(signal.SIGHUP, router.reload.set)  # before the start: it must never end us
         gevent.signal_handler(signal.SIGTERM, router.stop.set)
         gevent.signal_handler(signal.SIGINT, router.stop.set)
@@ -54,7 +54,7 @@
     log.info("serving: name=%s listen=%s hubs=%d", conf.name, conf.listen, len(router.facade.entries))
     router.stop.wait()
     log.info("leaving: open=%d standing=%d", len(router.life.open), len(router.standing.legs))
-    router.leave()
+    router.shut_down()
     log.info("left: open=%d standing=%d", len(router.life.open), len(router.standing.legs))
     return 0
 
--- a/barleywheel/benchlink.py
+++ b/barleywheel/benchlink.py
@@ -1,6 +1,6 @@
 """The simulator's wire: binary frames on standard input and output, one Controller an instance.
 
-Translation only. Every choice is made in ``barleywheel.brain``; nothing here is shared
+Translation only. Every choice is made in ``barleywheel.controller``; nothing here is shared
 between instances except the numbered lists that the wire itself shares.
 """
 
@@ -14,7 +14,7 @@
 from typing import Any, BinaryIO
 
 from barleywheel import interface as api
-from barleywheel.brain import Controller
+from barleywheel.controller import Controller
 
 HEADER = struct.Struct("<IQI")
 REPLY = struct.Struct("<II")
@@ -118,7 +118,7 @@
         hold = _at(family.get("mean_hold_us"), index, None)
         deadline = int(_need(item, "hard_limit_us", f"classes[{index}]."))
         classes.append(
-            api.ClassOfCall(
+            api.CallClass(
                 aim_us=int(_get(item, "aim_us", deadline)),
                 deadline_us=deadline,
                 worth=float(_get(item, "worth", 1.0)),
@@ -137,30 +137,30 @@
     ]
     settings = api.Settings(
         classes=classes,
-        number=int(_get(raw, "my_number", 0)),
-        agents=max(1, int(_get(raw, "balancers", 1))),
-        home=int(_get(family, "home_no", -1)),
+        controller_number=int(_get(raw, "my_number", 0)),
+        controllers=max(1, int(_get(raw, "balancers", 1))),
+        home_cell=int(_get(family, "home_no", -1)),
         pools=family.get("layout") == "pools",
         tenants=tenants,
         over_share_worth=float(_get(raw, "over_share_worth", 1.0)),
         guard_us=int(_get(family, "guard_us", 0)),
         repeat_us=int(_get(family, "repeat_us", 0)),
         reports_in_answers=_get(family, "peer_load", _get(report, "how", "answers")) == "answers",
-        advice=bool(_get(family, "route_advice", False)),
-        attempts=int(limits["send_cap"]) if limits.get("send_cap") else None,
+        route_advice=bool(_get(family, "route_advice", False)),
+        max_attempts=int(limits["send_cap"]) if limits.get("send_cap") else None,
         may_cancel=bool(_get(limits, "cancel", False)),
         may_probe=bool(_get(limits, "probing", False)),
         may_message=bool(_get(limits, "peers", False)),
         retry_after=bool(_get(limits, "retry_after", False)),
         max_retry_after_us=int(_get(limits, "max_retry_after_us", 0)),
-        on_request=raw.get("discovery") == "on_request",
+        discovery_on_request=raw.get("discovery") == "on_request",
         ask_within_us=int(_get(contract, "ask_within_us", 10_000_000)),
         cold_from=float(_get(contract, "cold_from", 1.0)),
         cold_us=int(_get(contract, "cold_us", 0)),
         tip_multiple=float(_get(contract, "tip_multiple", 1.0)),
         fall_us=int(_get(contract, "fall_us", 1_000_000)),
         tick_us=int(_get(raw, "tick_us", 1_000)),
-        marks_redials=bool(_get(raw.get("client_habits") or {}, "marks_retry", False)),
+        callers_mark_redials=bool(_get(raw.get("client_habits") or {}, "marks_retry", False)),
     )
     return settings, [str(name) for name in report.get("fields") or []]
 
@@ -186,12 +186,12 @@
         return load
 
 
-class Link:
+class BatchDecoder:
     """Decodes batches, runs the controllers, encodes their actions."""
 
     def __init__(self) -> None:
         self.instances: dict[int, Instance] = {}
-        self.pages: dict[int, list[api.Entry]] = {}
+        self.pages: dict[int, list[api.ExchangeEntry]] = {}
 
     def batch(self, frame: bytes) -> bytes:
         """Answer one complete frame."""
@@ -234,7 +234,7 @@
                 actions = instance.controller.handle(now_us, event)
                 out.extend(encode(agent, action) for action in actions)
             except Exception as error:
-                bail_out(agent, f"{type(error).__name__}: {error}", out)
+                report_failure(agent, f"{type(error).__name__}: {error}", out)
 
     def _open(self, body: bytes, out: list[bytes]) -> None:
         agent, seed, length = OPEN.unpack_from(body)
@@ -245,7 +245,7 @@
             self.instances[agent] = Instance(settings, fields, seed)
         except Exception as error:
             self.instances.pop(agent, None)
-            bail_out(agent, f"{type(error).__name__}: {error}", out)
+            report_failure(agent, f"{type(error).__name__}: {error}", out)
 
     def _page(self, body: bytes) -> None:
         number, count = PAGE.unpack_from(body)
@@ -256,7 +256,9 @@
             fields = ENTRY.unpack_from(body, PAGE.size + index * ENTRY.size)
             zone, exchange, share, kind, launched_us, state, cell = fields
             entries.append(
-                api.Entry(exchange, cell, api.State(min(state, 2)), zone, share, kind, launched_us)
+                api.ExchangeEntry(
+                    exchange, cell, api.ExchangeState(min(state, 2)), zone, share, kind, launched_us
+                )
             )
         self.pages[number] = entries
 
@@ -281,12 +283,12 @@
             destination=-1 if target is None else target,
             call_class=profile,
             tenant=tenant,
-            number=key,
+            called_number=key,
             redialled=bool(flags & 2),
             in_transit=transit,
-            cut_before=bool(flags & 16),
-            advice=None if transit else place,
-            source=place if transit else None,
+            interrupted_before=bool(flags & 16),
+            advised_cell=None if transit else place,
+            source_cell=place if transit else None,
             width=width if math.isfinite(width) and width > 0 else 1.0,
         )
 
@@ -301,7 +303,7 @@
         _, call, attempt, exchange, ending, elapsed, final, clear, count = fields
         low, high = clear & 15, clear >> 4
         cause = api.Cause(low) if low <= max(api.Cause) else api.Cause.NONE
-        waits = cause is api.Cause.PROCESSOR_FULL and high > 0
+        waits = cause is api.Cause.PROCESSOR_OVERLOADED and high > 0
         return api.AttemptEnded(
             call=call,
             attempt=attempt,
@@ -310,7 +312,7 @@
             elapsed_us=elapsed,
             final=bool(final),
             cause=cause,
-            beyond_full=cause is api.Cause.TURNED_BACK and high == 1,
+            downstream_overloaded=cause is api.Cause.CRANKBACK and high == 1,
             wait_us=high * 1000 if waits else None,
             load=instance.load(body, COMPLETED.size, count),
         )
@@ -341,15 +343,15 @@
         return api.PeerReport(cell, accept / 255, int.from_bytes(payload[NOTE.size :], "little"))
 
 
-EVENTS: dict[int, Callable[[Link, Instance, bytes], api.Event | None]] = {
-    2: Link.discovery,
-    3: Link.offered,
-    4: Link.stands,
-    5: Link.ended,
-    6: Link.gone,
-    7: Link.timer,
-    8: Link.probed,
-    9: Link.peer,
+EVENTS: dict[int, Callable[[BatchDecoder, Instance, bytes], api.Event | None]] = {
+    2: BatchDecoder.discovery,
+    3: BatchDecoder.offered,
+    4: BatchDecoder.stands,
+    5: BatchDecoder.ended,
+    6: BatchDecoder.gone,
+    7: BatchDecoder.timer,
+    8: BatchDecoder.probed,
+    9: BatchDecoder.peer,
 }
 
 
@@ -358,7 +360,7 @@
     return RECORD.pack(code, len(body)) + body
 
 
-def bail_out(agent: int, text: str, out: list[bytes]) -> None:
+def report_failure(agent: int, text: str, out: list[bytes]) -> None:
     """Report that the decisions failed, on the wire and on standard error."""
     print(f"barleywheel: agent {agent}: {text}", file=sys.stderr)
     data = text.encode()[:TEXT_LIMIT]
@@ -381,8 +383,10 @@
         case api.Probe():
             return record(70, PROBE.pack(agent, action.exchange))
         case api.PeerReport():
-            room = action.room.to_bytes((action.room.bit_length() + 7) // 8, "little")
-            note = NOTE.pack(NOTE_MARK, action.cell, round(action.accept * 255)) + room
+            reachable = action.reachable_cells.to_bytes(
+                (action.reachable_cells.bit_length() + 7) // 8, "little"
+            )
+            note = NOTE.pack(NOTE_MARK, action.cell, round(action.accept_fraction * 255)) + reachable
             note = note[:NOTE_LIMIT]
             return record(72, MEMO.pack(agent, EVERY_PEER, len(note)) + note)
         case api.Log():
@@ -410,10 +414,10 @@
 
 def main() -> int:
     """Serve batches until the end of input."""
-    link = Link()
+    decoder = BatchDecoder()
     try:
         while (frame := read_frame(sys.stdin.buffer)) is not None:
-            sys.stdout.buffer.write(link.batch(frame))
+            sys.stdout.buffer.write(decoder.batch(frame))
             sys.stdout.buffer.flush()
     except WireError as error:
         print(f"barleywheel: bad input: {error}", file=sys.stderr)
--- a/barleywheel/config.py
+++ b/barleywheel/config.py
@@ -33,12 +33,12 @@
     seed: int
     sockets: int
     connect_timeout_us: int
-    known: tuple[int, list[Event]]
+    initial_hubs: tuple[int, list[Event]]
     settings: api.Settings
     names: dict[str, list[str]]
 
 
-def address(value: object, what: str) -> str:
+def parse_address(value: object, what: str) -> str:
     """A host and a port."""
     if not isinstance(value, str) or not ADDRESS.match(value) or int(value.rpartition(":")[2]) > 65535:
         raise ConfigError(f"{what} is no address: {value!r}")
@@ -72,12 +72,12 @@
         limits = settings.get("limits") or {}
         return Config(
             name=environ.get("LB_NAME") or str(raw.get("name", "")),
-            listen=address(environ.get("LB_LISTEN") or raw.get("listen"), "listen"),
-            journal=address(raw.get("journal"), "journal"),
+            listen=parse_address(environ.get("LB_LISTEN") or raw.get("listen"), "listen"),
+            journal=parse_address(raw.get("journal"), "journal"),
             seed=int(str(raw.get("seed", "0")), 16),
             sockets=int((raw.get("limits") or {}).get("sockets", 1024)),
             connect_timeout_us=int(limits.get("connect_timeout_us") or 500_000),
-            known=journal_wire.events(raw.get("known") or {}),
+            initial_hubs=journal_wire.events(raw.get("known") or {}),
             settings=parsed,
             names={
                 "classes": classes,
@@ -135,29 +135,29 @@
 
 
 @dataclass(slots=True)
-class Extras:
+class OperatorConfig:
     """What the operator's file sets up."""
 
     m3ua: M3uaConfig | None = None
     snmp: SnmpConfig | None = None
 
 
-def extras(path: str | None) -> Extras:
+def load_operator_config(path: str | None) -> OperatorConfig:
     """Read the operator's file."""
     if path is None:
-        return Extras()
+        return OperatorConfig()
     try:
         with open(path, "rb") as file:
-            return parse_extras(file.read(), path)
+            return parse_operator_config(file.read(), path)
     except OSError as error:
         raise ConfigError(f"{path}: {error}") from error
 
 
-def parse_extras(data: bytes, path: str) -> Extras:
+def parse_operator_config(data: bytes, path: str) -> OperatorConfig:
     """Read an operator's file's bytes; ConfigError, which names the path, where they can't be used."""
     try:
         raw = tomllib.loads(data.decode())
-        return Extras(
+        return OperatorConfig(
             _m3ua(raw["m3ua"]) if "m3ua" in raw else None, _snmp(raw["snmp"]) if "snmp" in raw else None
         )
     except KeyError as error:
@@ -200,7 +200,7 @@
     if len({peer.point_code for peer in peers}) < len(peers) or not peers:
         raise ValueError("peers need point codes of their own")
     return M3uaConfig(
-        listen=address(raw["listen"], "m3ua.listen"),
+        listen=parse_address(raw["listen"], "m3ua.listen"),
         point_code=_within(raw, "point_code", 0, MOST_POINT_CODE),
         network_indicator=_within(raw, "network_indicator", 0, 3, 2),
         routing_context=_within(raw, "routing_context", 0, 0xFFFFFFFF, 1),
@@ -219,4 +219,4 @@
 
 
 def _snmp(raw: dict[str, Any]) -> SnmpConfig:
-    return SnmpConfig(address(raw["listen"], "snmp.listen"), str(raw["community"]))
+    return SnmpConfig(parse_address(raw["listen"], "snmp.listen"), str(raw["community"]))
--- a/barleywheel/core/life.py
+++ b/barleywheel/core/life.py
@@ -23,7 +23,7 @@
 )
 from barleywheel.core.release import Standing
 from barleywheel.core.runtime import now_us
-from barleywheel.facade import Facade
+from barleywheel.facade import ControllerFacade
 
 log = logging.getLogger(__name__)
 GUARDED = (End.TIMEOUT, End.RESET, End.GONE)
@@ -32,7 +32,7 @@
 class Life:
     """Every call that is open, from its request to its one answer."""
 
-    def __init__(self, facade: Facade, deadlines: Deadlines, standing: Standing) -> None:
+    def __init__(self, facade: ControllerFacade, deadlines: Deadlines, standing: Standing) -> None:
         self.facade, self.deadlines, self.standing = facade, deadlines, standing
         self.open: dict[str, Call] = {}
         self.counts: Counter[str] = Counter()  # for the agent: calls, attempts, outcomes by name
@@ -96,12 +96,12 @@
                 del self.open[request.ref]
 
     def _run(self, call: Call) -> None:
-        decision = self.facade.pick(call)
+        decision = self.facade.decide_new_call(call)
         while isinstance(decision, Send):
             if now_us() < call.guard_us:
                 # Guards rule 5 should the module ever send again too soon after a broken attempt.
                 runtime.sleep((call.guard_us - now_us()) / 1e6)
-            attempt = call.attempt = Attempt(call, decision.hub, decision.limit_us, self.facade.ready)
+            attempt = call.attempt = Attempt(call, decision.hub, decision.limit_us, self.facade.is_ready)
             call.attempts += 1
             carrier = self._carrier(decision.hub)
             outcome = self._attempt(attempt, carrier)
@@ -115,12 +115,12 @@
             if call.verdict is not None:
                 decision = call.verdict
                 break
-            decision = self.facade.report(attempt, outcome)
+            decision = self.facade.report_attempt_end(attempt, outcome)
             if outcome.end in GUARDED:
                 call.guard_us = now_us() + self.facade.guard_us
         if call.abandoned:
             self._forget(call)
-            self.facade.gone(call)
+            self.facade.report_caller_gone(call)
             self.counts["abandoned"] += 1
         else:
             assert isinstance(decision, Rejection)
@@ -138,7 +138,7 @@
         call.request.origin.reject(call.request, rejection)
 
     def _carrier(self, hub: bytes) -> Carrier:
-        carrier = self.carriers.get(self.facade.cell(hub), self.default)
+        carrier = self.carriers.get(self.facade.cell_of(hub), self.default)
         assert carrier is not None
         return carrier
 
@@ -164,7 +164,7 @@
                 outcome.end.value,
                 (now_us() - attempt.started_us) // 1000,
                 call.request.destination,
-                self.facade.cell(attempt.hub),
+                self.facade.cell_of(attempt.hub),
                 call.request.in_transit,
             )
         return outcome
@@ -176,7 +176,7 @@
             carrier.release(leg, CAUSE_NORMAL)
             self._reject(call, call.verdict)
             return
-        self.facade.stands(attempt, outcome)
+        self.facade.report_answered(attempt, outcome)
         del self.open[request.ref]
         if call.abandoned or not request.origin.answer(request, outcome.description):
             self.standing.forget(request.ref)
--- a/barleywheel/facade.py
+++ b/barleywheel/facade.py
@@ -1,4 +1,4 @@
-"""The module in blocking style: pick, report, tick, and the way in for hub list and group state.
+"""The module in blocking style: new calls, attempt ends, timers, and the way in for hub list and group state.
 
 Beside ``benchlink`` this is the only place that sees the module's events and actions.
 """
@@ -11,7 +11,7 @@
 
 from barleywheel import interface as api
 from barleywheel.benchlink import LOAD_FIELDS
-from barleywheel.brain import Controller
+from barleywheel.controller import Controller
 from barleywheel.core.deadlines import Deadlines
 from barleywheel.core.model import (
     CAUSE_CONGESTION,
@@ -42,10 +42,10 @@
 CAUSES = {
     Note.NONE: api.Cause.NONE,
     Note.NO_CIRCUIT: api.Cause.NO_CIRCUIT,
-    Note.TURNED_BACK: api.Cause.TURNED_BACK,
-    Note.BEYOND_FULL: api.Cause.TURNED_BACK,
-    Note.PROCESSOR_FULL: api.Cause.PROCESSOR_FULL,
-    Note.ENGAGED: api.Cause.LINES_ENGAGED,
+    Note.TURNED_BACK: api.Cause.CRANKBACK,
+    Note.BEYOND_FULL: api.Cause.CRANKBACK,
+    Note.PROCESSOR_FULL: api.Cause.PROCESSOR_OVERLOADED,
+    Note.ENGAGED: api.Cause.SUBSCRIBER_BUSY,
 }
 # Reports name their values as the settings do, or by the short names of the protocol's page.
 SHORT = {
@@ -69,7 +69,7 @@
     return load
 
 
-class Facade:
+class ControllerFacade:
     """One decision module, asked and told in plain calls."""
 
     def __init__(
@@ -80,8 +80,8 @@
         self._names = {kind: {name: at for at, name in enumerate(values)} for kind, values in names.items()}
         self._calls: dict[int, Call] = {}
         self._told = False
-        self.entries: dict[bytes, api.Entry] = {}
-        self.guard_us, self.home = settings.guard_us, settings.home
+        self.entries: dict[bytes, api.ExchangeEntry] = {}
+        self.guard_us, self.home_cell = settings.guard_us, settings.home_cell
         self._limits_us = [kind.deadline_us for kind in settings.classes]
 
     def knows_class(self, name: str) -> bool:
@@ -93,12 +93,12 @@
         at = self._names["classes"].get(name)
         return 0 if at is None else self._limits_us[at]
 
-    def ready(self, hub: bytes) -> bool:
+    def is_ready(self, hub: bytes) -> bool:
         """Whether the list, as last heard, allows a new set-up to the hub."""
         entry = self.entries.get(hub)
-        return entry is not None and entry.state is api.State.READY
+        return entry is not None and entry.state is api.ExchangeState.READY
 
-    def cell(self, hub: bytes) -> int:
+    def cell_of(self, hub: bytes) -> int:
         """The number of the hub's exchange."""
         entry = self.entries.get(hub)
         return -1 if entry is None else entry.cell
@@ -109,7 +109,7 @@
 
     # Calls.
 
-    def pick(self, call: Call) -> Decision:
+    def decide_new_call(self, call: Call) -> Decision:
         """Where to send a new call, or its final answer."""
         request, now = call.request, now_us()
         self._calls[call.number] = call
@@ -120,18 +120,18 @@
                 time_left_us=max(0, request.left_us - (now - request.received_us)),
                 destination=request.destination,
                 call_class=self._names["classes"][request.class_name],
-                number=int(request.number, 16) if request.number else 0,
+                called_number=int(request.number, 16) if request.number else 0,
                 redialled=request.redialled,
                 in_transit=request.in_transit,
-                cut_before=request.cut_before,
-                source=request.source if request.in_transit else None,
-                advice=None if request.in_transit else request.source,
+                interrupted_before=request.cut_before,
+                source_cell=request.source if request.in_transit else None,
+                advised_cell=None if request.in_transit else request.source,
                 width=request.width,
             ),
             now,
         )
 
-    def report(self, attempt: Attempt, outcome: Outcome) -> Decision:
+    def report_attempt_end(self, attempt: Attempt, outcome: Outcome) -> Decision:
         """Tell how an attempt ended; what to do next."""
         return self._decide(
             attempt.call,
@@ -142,42 +142,42 @@
                 outcome=ENDS[outcome.end],
                 elapsed_us=max(0, outcome.at_us - attempt.sent_us),
                 cause=CAUSES[outcome.note],
-                beyond_full=outcome.note is Note.BEYOND_FULL,
+                downstream_overloaded=outcome.note is Note.BEYOND_FULL,
                 load=_load(outcome.load),
             ),
             now_us(),
         )
 
-    def stands(self, attempt: Attempt, outcome: Outcome) -> None:
+    def report_answered(self, attempt: Attempt, outcome: Outcome) -> None:
         """Tell that a call stands."""
         self._calls.pop(attempt.call.number, None)
         elapsed = max(0, outcome.at_us - attempt.sent_us)
         self._tell(api.CallStands(attempt.call.number, attempt.index, attempt.hub, elapsed))
         if outcome.load:
-            self.group(attempt.hub, outcome.load)
+            self.report_load(attempt.hub, outcome.load)
 
-    def gone(self, call: Call) -> None:
+    def report_caller_gone(self, call: Call) -> None:
         """Tell that the caller left."""
         self._calls.pop(call.number, None)
         self._tell(api.CallerGone(call.number))
 
-    def tick(self, token: int) -> None:
+    def fire_timer(self, token: int) -> None:
         """Let the module's timer come due; calls that it answers by that are closed."""
         self._tell(api.TimerDue(token))
 
     # Hubs.
 
-    def group(self, hub: bytes, values: dict[str, float]) -> None:
+    def report_load(self, hub: bytes, values: dict[str, float]) -> None:
         """Tell a report on the group towards a hub, and on its processor where it says so."""
         self._tell(api.LoadSeen(hub, api.Outcome.OK, 0, _load(values)))
 
-    def hubs(self, endpoints: list[Endpoint], whole: bool) -> None:
+    def update_hubs(self, endpoints: list[Endpoint], whole: bool) -> None:
         """Tell a change of the hub list, or the whole of it."""
         entries = [self._entry(endpoint) for endpoint in endpoints]
         if whole:
             self.entries = {}
         for entry in entries:
-            if entry.state is api.State.GONE:
+            if entry.state is api.ExchangeState.GONE:
                 self.entries.pop(entry.exchange, None)
             else:
                 self.entries[entry.exchange] = entry
@@ -185,12 +185,16 @@
         self._told = True
         self._tell(api.Discovery(mode if whole else api.ListMode.DELTA, entries))
 
-    def _entry(self, endpoint: Endpoint) -> api.Entry:
-        states = {"Ready": api.State.READY, "Terminating": api.State.DRAINING, "Gone": api.State.GONE}
-        return api.Entry(
+    def _entry(self, endpoint: Endpoint) -> api.ExchangeEntry:
+        states = {
+            "Ready": api.ExchangeState.READY,
+            "Terminating": api.ExchangeState.DRAINING,
+            "Gone": api.ExchangeState.GONE,
+        }
+        return api.ExchangeEntry(
             exchange=endpoint.name.encode("utf-8", "surrogatepass"),
             cell=endpoint.cell,
-            state=states.get(endpoint.status, api.State.DRAINING),
+            state=states.get(endpoint.status, api.ExchangeState.DRAINING),
             zone=self._names["zones"].get(endpoint.zone, 0),
             share=endpoint.weight,
             kind=self._names["kinds"].get(endpoint.kind, 0),
@@ -221,7 +225,7 @@
                 case api.Fail():
                     decisions[action.call] = Rejection(CAUSE_CUT)
                 case api.SetTimer():
-                    due: Callable[[], None] = partial(self.tick, action.token)
+                    due: Callable[[], None] = partial(self.fire_timer, action.token)
                     self._deadlines.at(action.due_us, due)
                 case api.Log():
                     log.info("module: %s", action.text)
--- a/barleywheel/fronts/m3ua.py
+++ b/barleywheel/fronts/m3ua.py
@@ -27,7 +27,7 @@
     Request,
 )
 from barleywheel.core.runtime import now_us
-from barleywheel.facade import Facade
+from barleywheel.facade import ControllerFacade
 from barleywheel.net import sockets
 from barleywheel.net.connection import Connection
 from barleywheel.wire import isup, m3ua
@@ -140,7 +140,7 @@
             return
         idle = sum(circuit.state is State.IDLE for circuit in self.circuits.values())
         for hub in self.front.facade.hubs_of(self.conf.cell):
-            self.front.facade.group(hub, {"free": idle, "size": len(self.circuits)})
+            self.front.facade.report_load(hub, {"free": idle, "size": len(self.circuits)})
 
     def hang_up(self, circuit: Circuit, cause: int) -> None:
         """Send REL, or let it wait for the link; the circuit is taken until RLC."""
@@ -276,7 +276,7 @@
 class M3uaFront:
     """Listens for the peers' ASPs; they come up, become active and carry calls."""
 
-    def __init__(self, conf: M3uaConfig, life: Life, facade: Facade, deadlines: Deadlines) -> None:
+    def __init__(self, conf: M3uaConfig, life: Life, facade: ControllerFacade, deadlines: Deadlines) -> None:
         self.conf, self.life, self.facade, self.deadlines = conf, life, facade, deadlines
         self.peers = {peer.point_code: Peer(self, peer) for peer in conf.peers}
         self.origins = {code: Incoming(peer) for code, peer in self.peers.items()}
--- a/barleywheel/fuzz/module.py
+++ b/barleywheel/fuzz/module.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from barleywheel import interface as api
-from barleywheel.brain import ENGAGED_KEPT, Controller
+from barleywheel.controller import MAX_BUSY_NUMBERS, Controller
 from barleywheel.fuzz.rules import Breach
 from barleywheel.fuzz.source import Source, pick, weighted
 
@@ -25,11 +25,11 @@
 def settings() -> api.Settings:
     """A mesh, as the deployment has it."""
     return api.Settings(
-        classes=[api.ClassOfCall(1_200_000, 9_000_000, 1.0), api.ClassOfCall(800_000, 6_000_000, 8.0)],
-        agents=4,
-        home=0,
+        classes=[api.CallClass(1_200_000, 9_000_000, 1.0), api.CallClass(800_000, 6_000_000, 8.0)],
+        controllers=4,
+        home_cell=0,
         guard_us=300_000,
-        attempts=2,
+        max_attempts=2,
         may_cancel=True,
         cold_from=0.3,
         cold_us=10_000_000,
@@ -106,9 +106,9 @@
         self.module = Controller(self.settings, self.seed)
         self.calls: dict[int, Open] = {}
         self.timers: list[tuple[int, int]] = []
-        self.listed: dict[bytes, api.State] = {}
+        self.listed: dict[bytes, api.ExchangeState] = {}
         self.number = 0
-        entries = [api.Entry(self.name(cell), cell) for cell in range(CELLS + 1)]
+        entries = [api.ExchangeEntry(self.name(cell), cell) for cell in range(CELLS + 1)]
         self.tell(api.Discovery(api.ListMode.CACHED, entries))
         for cell in range(1, CELLS + 1):
             self.tell(
@@ -161,7 +161,7 @@
             self.breach("two attempts out", f"{action} while one is out at {call.out!r}")
         if self.now < call.guard_us:
             self.breach("guard", f"{action} {call.guard_us - self.now} us too soon")
-        if self.listed.get(action.exchange) is not api.State.READY:
+        if self.listed.get(action.exchange) is not api.ExchangeState.READY:
             self.breach("drain", f"{action}: the list says {self.listed.get(action.exchange)}")
         cell = int(action.exchange[1:].split(b".")[0])
         if cell == 0 or call.offer.in_transit and cell != call.offer.destination:
@@ -169,7 +169,7 @@
         if action.limit_us <= 0 or self.now + action.limit_us > call.due_us:
             self.breach("limit", f"{action}, {call.due_us - self.now} us are left")
         call.out, call.attempts = action.exchange, call.attempts + 1
-        if call.attempts > (self.settings.attempts or 99):
+        if call.attempts > (self.settings.max_attempts or 99):
             self.breach("attempts", f"{action}: the {call.attempts}th")
 
     def run(self, steps: list[Step]) -> list[Breach]:
@@ -189,10 +189,10 @@
         module = self.module
         tables = {
             "calls": module.calls,
-            "set-ups out": [n for x in module.exchanges.values() for n in x.waiting],
+            "set-ups out": [n for x in module.exchanges.values() for n in x.pending],
             "timers": [None] * (len(module.timers) - 1),
             "exchanges": [None] * (len(module.exchanges) - len(self.listed)),
-            "engaged numbers": [None] * (len(module.engaged) - ENGAGED_KEPT),
+            "engaged numbers": [None] * (len(module.busy_numbers) - MAX_BUSY_NUMBERS),
         }
         for name, table in tables.items():
             if table:
@@ -211,11 +211,11 @@
             left_us,
             to,
             kind,
-            number=to,
+            called_number=to,
             redialled=bool(flags & 1),
             in_transit=bool(flags & 2),
-            cut_before=bool(flags & 4),
-            source=3 if flags & 2 else None,
+            interrupted_before=bool(flags & 4),
+            source_cell=3 if flags & 2 else None,
         )
         self.calls[self.number] = Open(self.number, offer, self.now + left_us)
         self.tell(offer)
@@ -240,7 +240,7 @@
                     outcome,
                     1000,
                     cause=api.Cause(cause),
-                    beyond_full=bool(beyond),
+                    downstream_overloaded=bool(beyond),
                 )
             )
 
@@ -269,16 +269,21 @@
         """News of the list: a change, the whole, or a failure; a replaced exchange has another id."""
         kind = api.ListMode(mode)
         entries = [
-            api.Entry(
-                self.name(1 + cell, other), 1 + cell, api.State(state), launched_us=self.now if other else 0
+            api.ExchangeEntry(
+                self.name(1 + cell, other),
+                1 + cell,
+                api.ExchangeState(state),
+                launched_us=self.now if other else 0,
             )
         ]
         if kind is api.ListMode.FAILED:
             entries = []
         elif kind is not api.ListMode.DELTA:
-            entries += [api.Entry(self.name(at), at) for at in range(CELLS + 1) if at != 1 + cell]
+            entries += [api.ExchangeEntry(self.name(at), at) for at in range(CELLS + 1) if at != 1 + cell]
         self.tell(api.Discovery(kind, entries))
-        self.listed = {key: value for key, value in self.listed.items() if value is not api.State.GONE}
+        self.listed = {
+            key: value for key, value in self.listed.items() if value is not api.ExchangeState.GONE
+        }
 
     def do_report(self, cell: int, accept: int, room: int) -> None:
         """Another controller's news."""
--- a/barleywheel/fuzz/plants.py
+++ b/barleywheel/fuzz/plants.py
@@ -65,15 +65,15 @@
     Plant(
         "guard skipped",
         "module",
-        "brain.py",
+        "controller.py",
         "elif outcome not in (Outcome.REJECTED, Outcome.UNREACHABLE, Outcome.NOT_SENT):",
         "elif outcome not in (Outcome.REJECTED, Outcome.UNREACHABLE, Outcome.NOT_SENT, Outcome.RESET):",
     ),
     Plant(
         "drain check skipped",
         "module",
-        "brain.py",
-        "if x.entry.cell == offer.destination and x.entry.state is api.State.READY",
+        "controller.py",
+        "if x.entry.cell == offer.destination and x.entry.state is api.ExchangeState.READY",
         "if x.entry.cell == offer.destination",
     ),
     Plant(
@@ -170,9 +170,9 @@
     Plant(
         "attempts without end",
         "module",
-        "brain.py",
-        "if targets and offer.destination != self.settings.home and (cap is None or call.attempts < cap):",
-        "if targets and offer.destination != self.settings.home:",
+        "controller.py",
+        "offer.destination != self.settings.home_cell and (cap is None or call.attempts < cap):",
+        "offer.destination != self.settings.home_cell:",
     ),
     Plant(
         "journal's reader ends",
--- a/barleywheel/fuzz/scripts.py
+++ b/barleywheel/fuzz/scripts.py
@@ -886,7 +886,7 @@
             ],
             "releases of hubs": [kept for one in router.hubs.hubs.values() for kept in one.releases],
             "module's set-ups out": [
-                call for x in router.facade._module.exchanges.values() for call in x.waiting
+                call for x in router.facade._module.exchanges.values() for call in x.pending
             ],
             "greenlets": [None] * (len(world.runtime.alive) - 40),
             "deadlines": [None] * (len(router.deadlines._due) - 16),
--- a/barleywheel/fuzz/targets.py
+++ b/barleywheel/fuzz/targets.py
@@ -10,7 +10,7 @@
 
 from barleywheel import config
 from barleywheel.core.deadlines import Deadlines
-from barleywheel.facade import Facade
+from barleywheel.facade import ControllerFacade
 from barleywheel.fuzz import codecs, module, scripts
 from barleywheel.fuzz.rules import Breach
 from barleywheel.fuzz.shrink import Input
@@ -85,7 +85,7 @@
     conf = world.parsed()
     reached: dict[str, int] = {}
     for pieces in ([data], codecs.split(data)):
-        facade = Facade(conf.settings, conf.names, 1, Deadlines())
+        facade = ControllerFacade(conf.settings, conf.names, 1, Deadlines())
         journal = Journal("10.2.0.1:1", facade, Pool())  # type: ignore[arg-type]
         try:
             kept = journal._poll(Reads(pieces), Buffer())  # type: ignore[arg-type]
@@ -102,7 +102,7 @@
     """The platform's configuration: any bytes are a configuration or a ConfigError."""
     try:
         conf = config.parse(data, "fuzz", {})
-        Facade(conf.settings, conf.names, conf.seed, Deadlines())
+        ControllerFacade(conf.settings, conf.names, conf.seed, Deadlines())
         return [], {"accepted": 1}
     except config.ConfigError:
         return [], {"refused": 1}
@@ -113,7 +113,7 @@
 def check_toml(data: bytes) -> Result:
     """The operator's file: any bytes set up fronts that start, or are a ConfigError."""
     try:
-        extras = config.parse_extras(data, "fuzz")
+        extras = config.parse_operator_config(data, "fuzz")
     except config.ConfigError:
         return [], {"refused": 1}
     except Exception as error:
--- a/barleywheel/interface.py
+++ b/barleywheel/interface.py
@@ -1,4 +1,4 @@
-"""Settings, events and actions of the decision module in ``barleywheel.brain``.
+"""Settings, events and actions of the decision module in ``barleywheel.controller``.
 
 Only data lives here. Times are whole microseconds. ``None`` always means "not known".
 An exchange id is opaque: it is compared and handed back, never taken apart.
@@ -28,7 +28,7 @@
     CELL = "cell"
 
 
-class State(IntEnum):
+class ExchangeState(IntEnum):
     """State of an exchange in discovery."""
 
     READY = 0
@@ -63,13 +63,13 @@
 
     NONE = 0
     NO_CIRCUIT = 1
-    TURNED_BACK = 2
-    PROCESSOR_FULL = 3
-    LINES_ENGAGED = 4
+    CRANKBACK = 2
+    PROCESSOR_OVERLOADED = 3
+    SUBSCRIBER_BUSY = 4
 
 
 @dataclass(slots=True)
-class ClassOfCall:
+class CallClass:
     """One class of call."""
 
     aim_us: int
@@ -96,40 +96,40 @@
 class Settings:
     """What a controller is told at its start."""
 
-    classes: list[ClassOfCall]
-    number: int = 0
-    agents: int = 1
-    home: int = -1
+    classes: list[CallClass]
+    controller_number: int = 0
+    controllers: int = 1
+    home_cell: int = -1
     pools: bool = False
     tenants: list[Tenant] = field(default_factory=list)
     over_share_worth: float = 1.0
     guard_us: int = 0
     repeat_us: int = 0
     reports_in_answers: bool = True
-    advice: bool = False
-    attempts: int | None = None
+    route_advice: bool = False
+    max_attempts: int | None = None
     may_cancel: bool = False
     may_probe: bool = False
     may_message: bool = False
     retry_after: bool = False
     max_retry_after_us: int = 0
-    on_request: bool = False
+    discovery_on_request: bool = False
     ask_within_us: int = 10_000_000
     cold_from: float = 1.0
     cold_us: int = 0
     tip_multiple: float = 1.0
     fall_us: int = 1_000_000
     tick_us: int = 1_000
-    marks_redials: bool = False
+    callers_mark_redials: bool = False
 
 
 @dataclass(slots=True)
-class Entry:
+class ExchangeEntry:
     """One exchange as discovery describes it; ``launched_us`` 0 means long ago."""
 
     exchange: ExchangeId
     cell: int
-    state: State = State.READY
+    state: ExchangeState = ExchangeState.READY
     zone: int = 0
     share: float = 1.0
     kind: int = 0
@@ -155,24 +155,24 @@
     """News of the list of exchanges."""
 
     mode: ListMode
-    entries: list[Entry]
+    entries: list[ExchangeEntry]
 
 
 @dataclass(slots=True)
 class CallOffered:
-    """A call to be decided: it entered here, or is in transit from ``source``."""
+    """A call to be decided: it entered here, or is in transit from ``source_cell``."""
 
     call: int
     time_left_us: int
     destination: int
     call_class: int = 0
     tenant: int = 0
-    number: int = 0
+    called_number: int = 0
     redialled: bool = False
     in_transit: bool = False
-    cut_before: bool = False
-    advice: int | None = None
-    source: int | None = None
+    interrupted_before: bool = False
+    advised_cell: int | None = None
+    source_cell: int | None = None
     width: float = 1.0
 
 
@@ -197,7 +197,7 @@
     elapsed_us: int = 0
     final: bool = False
     cause: Cause = Cause.NONE
-    beyond_full: bool = False
+    downstream_overloaded: bool = False
     wait_us: int | None = None
     load: Load = field(default_factory=Load)
 
@@ -231,8 +231,8 @@
     """What one controller tells all others of its exchange, and hears from them; may be lost or late."""
 
     cell: int
-    accept: float  # fraction of set-ups that its processor should be sent, 0 to 1
-    room: int  # bit c is set where a call in transit finds circuits towards exchange c
+    accept_fraction: float  # fraction of set-ups that its processor should be sent, 0 to 1
+    reachable_cells: int  # bit c is set where a call in transit finds circuits towards exchange c
 
 
 Event = Discovery | CallOffered | CallStands | AttemptEnded | CallerGone | TimerDue | LoadSeen | PeerReport
--- a/barleywheel/net/hubs.py
+++ b/barleywheel/net/hubs.py
@@ -10,7 +10,7 @@
 from barleywheel.core.life import Life
 from barleywheel.core.model import Attempt, Call, End, Leg, Note, Outcome
 from barleywheel.core.runtime import now_us
-from barleywheel.facade import Facade
+from barleywheel.facade import ControllerFacade
 from barleywheel.net import sockets
 from barleywheel.net.connection import Connection
 from barleywheel.wire import sip
@@ -86,7 +86,9 @@
 class HubPool:
     """Places attempts at hubs; tells the core what hubs say."""
 
-    def __init__(self, life: Life, facade: Facade, deadlines: Deadlines, connect_timeout_us: int) -> None:
+    def __init__(
+        self, life: Life, facade: ControllerFacade, deadlines: Deadlines, connect_timeout_us: int
+    ) -> None:
         self.life, self.facade, self.deadlines = life, facade, deadlines
         self.connect_timeout_s = connect_timeout_us / 1e6
         self.hubs: dict[bytes, Hub] = {}
@@ -101,14 +103,14 @@
                 self._drop(name)
             elif name not in self.hubs and endpoint.address is not None:
                 self.hubs[name] = Hub(name, endpoint.address)
-                if self.facade.cell(name) != self.facade.home and not self._elsewhere(name):
+                if self.facade.cell_of(name) != self.facade.home_cell and not self._elsewhere(name):
                     runtime.spawn(self._keep, self.hubs[name])
         if whole:
             for name in [name for name in self.hubs if name not in named]:
                 self._drop(name)
 
     def _elsewhere(self, name: bytes) -> bool:
-        return self.facade.cell(name) in self.life.carriers  # another carrier reaches that one
+        return self.facade.cell_of(name) in self.life.carriers  # another carrier reaches that one
 
     def _drop(self, name: bytes) -> None:
         hub = self.hubs.pop(name, None)
@@ -164,8 +166,8 @@
 
     def _replaced(self, hub: Hub) -> bool:
         """A new hub may have the address of one that drains or is gone."""
-        return not self.facade.ready(hub.name) and any(
-            other.address == hub.address and self.facade.ready(other.name) for other in self.hubs.values()
+        return not self.facade.is_ready(hub.name) and any(
+            other.address == hub.address and self.facade.is_ready(other.name) for other in self.hubs.values()
         )
 
     def _connect(self, hub: Hub) -> HubConnection | None:
@@ -291,7 +293,7 @@
 
         def check() -> None:
             conn.watched = False
-            if not conn.open or not conn.setups or not self.facade.ready(name):
+            if not conn.open or not conn.setups or not self.facade.is_ready(name):
                 return
             now = now_us()
             first = next(iter(conn.setups.values())).sent_us
@@ -341,11 +343,11 @@
             if message.cseq[1] == "INVITE" and message.status >= 200:
                 self._answered(hub, conn, message)
         elif message.method == "NOTIFY":
-            self.facade.group(hub.name, message.load)
+            self.facade.report_load(hub.name, message.load)
         elif message.method == "BYE":
             conn.write(sip.response(200, "OK", message))
             if load := message.load:
-                self.facade.group(hub.name, load)
+                self.facade.report_load(hub.name, load)
             self.life.released(hub.name, message.call_id, message.cause)
         elif message.method != "ACK":
             conn.write(sip.response(200, "OK", message))
@@ -373,7 +375,7 @@
             if attempt is None or not attempt.end(outcome):
                 conn.write(sip.bye(ref, cseq + 1, number, 16))  # late: nobody waits for this call
                 if load:
-                    self.facade.group(hub.name, load)
+                    self.facade.report_load(hub.name, load)
             return
         note = NOTES.get(message.headers.get("x-note", ""), Note.NONE)
         outcome = Outcome(ENDS.get(message.status, End.ERROR), note, load, at_us=now_us())
@@ -387,4 +389,4 @@
                 message.headers.get("x-note", ""),
             )
         if (attempt is None or not attempt.end(outcome)) and load:
-            self.facade.group(hub.name, load)
+            self.facade.report_load(hub.name, load)
--- a/barleywheel/net/journal.py
+++ b/barleywheel/net/journal.py
@@ -8,7 +8,7 @@
 
 from barleywheel.core import runtime
 from barleywheel.core.runtime import now_us
-from barleywheel.facade import Facade
+from barleywheel.facade import ControllerFacade
 from barleywheel.net import sockets
 from barleywheel.net.buffer import Buffer
 from barleywheel.net.hubs import HubPool
@@ -45,7 +45,7 @@
 class Journal:
     """Follows the journal and hands its events to the module and to the pool."""
 
-    def __init__(self, address: str, facade: Facade, hubs: HubPool) -> None:
+    def __init__(self, address: str, facade: ControllerFacade, hubs: HubPool) -> None:
         self.address, self.facade, self.hubs = address, facade, hubs
         self.pos = 0
         self.alive = False  # for the agent
@@ -69,7 +69,7 @@
             self.pos = event.pos
             if not event.whole and not event.endpoints:
                 continue
-            self.facade.hubs(event.endpoints, event.whole)
+            self.facade.update_hubs(event.endpoints, event.whole)
             self.hubs.update(event.endpoints, event.whole)
             for endpoint in event.endpoints:
                 log.info(
--- a/barleywheel/router.py
+++ b/barleywheel/router.py
@@ -12,7 +12,7 @@
 from barleywheel.core.model import CAUSE_CUT, Rejection
 from barleywheel.core.release import Standing
 from barleywheel.core.runtime import now_us
-from barleywheel.facade import Facade
+from barleywheel.facade import ControllerFacade
 from barleywheel.fronts.m3ua import M3uaFront
 from barleywheel.fronts.platform import PlatformFront
 from barleywheel.net.hubs import HubPool
@@ -21,17 +21,21 @@
 log = logging.getLogger("barleywheel")
 ACCEPT_S = 0.9  # how long after SIGTERM new set-ups may still come
 LONGEST_S = 3.0  # SIGKILL may follow 0.7 s after the longest deadline, which counts as no more than this
-LEAVE_S = 0.4  # what is left this long after that deadline is failed at once: the answers need time to go
+# What is left this long after that deadline is failed at once: the answers need time to go.
+SHUTDOWN_MARGIN_S = 0.4
 
 
 class Router:
     """One call router. ``reload`` is set where the configuration is to be read again by ``load``."""
 
     def __init__(
-        self, conf: config.Config, extras: config.Extras, load: Callable[[], config.Config] = config.load
+        self,
+        conf: config.Config,
+        operator: config.OperatorConfig,
+        load: Callable[[], config.Config] = config.load,
     ) -> None:
         self.deadlines = Deadlines()
-        self.facade = Facade(conf.settings, conf.names, conf.seed, self.deadlines)
+        self.facade = ControllerFacade(conf.settings, conf.names, conf.seed, self.deadlines)
         self.standing = Standing(self.deadlines)
         self.life = Life(self.facade, self.deadlines, self.standing)
         self.hubs = HubPool(self.life, self.facade, self.deadlines, conf.connect_timeout_us)
@@ -40,17 +44,19 @@
         self.standing.stranger_to = self.front
         self.journal = Journal(conf.journal, self.facade, self.hubs)
         self.stop, self.reload = runtime.event(), runtime.event()
-        self.leave_s = min(LONGEST_S, max(c.deadline_us for c in conf.settings.classes) / 1e6) + LEAVE_S
+        self.shutdown_s = (
+            min(LONGEST_S, max(c.deadline_us for c in conf.settings.classes) / 1e6) + SHUTDOWN_MARGIN_S
+        )
         self._load = load
-        self.snmp = extras.snmp
+        self.snmp = operator.snmp
         self.m3ua: M3uaFront | None = None
-        if extras.m3ua is not None:
-            self.m3ua = M3uaFront(extras.m3ua, self.life, self.facade, self.deadlines)
+        if operator.m3ua is not None:
+            self.m3ua = M3uaFront(operator.m3ua, self.life, self.facade, self.deadlines)
 
     def start(self, conf: config.Config) -> None:
         """Listen and begin to serve; ConfigError where that can't be."""
         try:
-            self.journal.apply(*conf.known)
+            self.journal.apply(*conf.initial_hubs)
             self.front.listen(conf.listen)
             if self.m3ua is not None:
                 self.m3ua.listen()
@@ -81,11 +87,11 @@
     def _broken(self, greenlet: object) -> None:
         log.critical("a part of the router ended: %s", greenlet)
 
-    def leave(self) -> None:
+    def shut_down(self) -> None:
         """Finish what is taken: callers may still send for a while."""
         self.front.leaving = True
-        until = now_us() + int(self.leave_s * 1e6)
-        runtime.sleep(min(ACCEPT_S, self.leave_s))
+        until = now_us() + int(self.shutdown_s * 1e6)
+        runtime.sleep(min(ACCEPT_S, self.shutdown_s))
         self.front.close()
         # Guards set-ups that still come on open connections: one taken as we went was never answered.
         while (not self.front.hang_up() or self.life.open) and now_us() < until:
--- a/barleywheel/snmp/agent.py
+++ b/barleywheel/snmp/agent.py
@@ -77,7 +77,7 @@
             hub = router.hubs.hubs.get(key)
             found[HUBS + (1, 2, row)] = v2c.OctetString(key)
             found[HUBS + (1, 3, row)] = v2c.Integer32(entry.cell)
-            found[HUBS + (1, 4, row)] = v2c.Integer32(1 if router.facade.ready(key) else 2)
+            found[HUBS + (1, 4, row)] = v2c.Integer32(1 if router.facade.is_ready(key) else 2)
             found[HUBS + (1, 5, row)] = gauge(len(hub.conns) if hub else 0)
         for code, peer in (router.m3ua.peers if router.m3ua else {}).items():
             state = peer.link.asp.value if peer.link else "down"
--- a/barleywheel/virtual/world.py
+++ b/barleywheel/virtual/world.py
@@ -97,9 +97,9 @@
 
 
 @cache
-def extras() -> config.Extras:
+def extras() -> config.OperatorConfig:
     """The operator's file."""
-    return config.parse_extras(EXTRAS.encode(), "world")
+    return config.parse_operator_config(EXTRAS.encode(), "world")
 
 
 def configured(journal_address: Address, known: dict[str, Any], seed: int) -> config.Config:
@@ -248,7 +248,7 @@
         """SIGTERM."""
 
         def leaving() -> None:
-            self.router.leave()
+            self.router.shut_down()
             self.left = True
 
         self.runtime.spawn(leaving)
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -6,7 +6,7 @@
 from typing import Any, TypeVar
 
 from barleywheel import interface as api
-from barleywheel.brain import Controller
+from barleywheel.controller import Controller
 
 START = 100_000_000
 SECOND = 1_000_000
@@ -20,13 +20,13 @@
 def settings(**changes: Any) -> api.Settings:
     base = api.Settings(
         classes=[
-            api.ClassOfCall(aim_us=1_500_000, deadline_us=9 * SECOND, worth=1.0),
-            api.ClassOfCall(aim_us=1_500_000, deadline_us=9 * SECOND, worth=3.0),
+            api.CallClass(aim_us=1_500_000, deadline_us=9 * SECOND, worth=1.0),
+            api.CallClass(aim_us=1_500_000, deadline_us=9 * SECOND, worth=3.0),
         ],
-        agents=4,
-        home=0,
+        controllers=4,
+        home_cell=0,
         guard_us=300_000,
-        attempts=4,
+        max_attempts=4,
         may_cancel=True,
         cold_from=0.3,
         cold_us=10 * SECOND,
@@ -42,16 +42,16 @@
 
     def __init__(self, cells: int = 4, seed: int = 1, **changes: Any) -> None:
         self.now = START
-        self.brain = Controller(settings(**changes), seed)
+        self.controller = Controller(settings(**changes), seed)
         self.seen: list[api.Action] = []
         self.timers: list[tuple[int, int]] = []
         self.calls = 0
-        self.tell(api.Discovery(api.ListMode.CACHED, [api.Entry(xid(c), c) for c in range(cells)]))
+        self.tell(api.Discovery(api.ListMode.CACHED, [api.ExchangeEntry(xid(c), c) for c in range(cells)]))
         for cell in range(1, cells):
             self.circuits(cell, 20)
 
     def tell(self, event: api.Event) -> list[api.Action]:
-        actions = self.brain.handle(self.now, event)
+        actions = self.controller.handle(self.now, event)
         self.seen += actions
         self.timers += [(a.due_us, a.token) for a in actions if isinstance(a, api.SetTimer)]
         return actions
--- a/tests/test_benchlink.py
+++ b/tests/test_benchlink.py
@@ -110,43 +110,43 @@
 
 
 def test_empty_batch_as_the_protocol_shows_it() -> None:
-    reply = benchlink.Link().batch(bytes.fromhex("100000005a5c80000000000001000000"))
+    reply = benchlink.BatchDecoder().batch(bytes.fromhex("100000005a5c80000000000001000000"))
     assert reply == bytes.fromhex("0800000001000000")
 
 
 def test_a_call_is_decoded_and_sent() -> None:
-    link = benchlink.Link()
-    link.batch(frame(1000, 1, opened(), page(), listed()))
-    sent = dict(actions(link.batch(frame(2000, 2, offered(5)))))
+    decoder = benchlink.BatchDecoder()
+    decoder.batch(frame(1000, 1, opened(), page(), listed()))
+    sent = dict(actions(decoder.batch(frame(2000, 2, offered(5)))))
     assert sent[65][:12] == struct.pack("<HI6s", 0, 5, xid(1))
 
 
 def test_fields_of_a_call() -> None:
-    link = benchlink.Link()
+    decoder = benchlink.BatchDecoder()
     instance = benchlink.Instance(api.Settings([]), [], 1)
     text = "0300 c4913a5d 80a90300 00006442 00000000 640ad2557c3bf091 0800 e02e0000 00008043 0000 00009644"
     with pytest.raises(struct.error):
-        link.offered(instance, bytes.fromhex(text)[:30])
-    event = link.offered(instance, bytes.fromhex(text))
+        decoder.offered(instance, bytes.fromhex(text)[:30])
+    event = decoder.offered(instance, bytes.fromhex(text))
     assert isinstance(event, api.CallOffered)
     assert (event.call, event.time_left_us, event.destination) == (0x5D3A91C4, 240_000, 57)
-    assert (event.in_transit, event.source, event.advice, event.width) == (True, 256, None, 1200.0)
+    assert (event.in_transit, event.source_cell, event.advised_cell, event.width) == (True, 256, None, 1200.0)
 
 
 def test_outcome_causes_and_unknown_loads() -> None:
-    link = benchlink.Link()
+    decoder = benchlink.BatchDecoder()
     settings, fields = benchlink.parse_settings(json.dumps(OPTIONS).encode())
     instance = benchlink.Instance(settings, fields, 1)
     load = struct.pack("<4f", 7.0, 20.0, -1.0, float("nan"))
     body = struct.pack("<HIB6sHIBIB", 0, 5, 1, xid(1), 254, 9000, 1, 18, 4) + load
-    event = link.ended(instance, body)
+    event = decoder.ended(instance, body)
     assert isinstance(event, api.AttemptEnded)
-    assert (event.outcome, event.cause) == (api.Outcome.REJECTED, api.Cause.TURNED_BACK)
-    assert event.beyond_full
+    assert (event.outcome, event.cause) == (api.Outcome.REJECTED, api.Cause.CRANKBACK)
+    assert event.downstream_overloaded
     assert event.load == api.Load(free_circuits=7.0, group_size=20.0)
-    waits = link.ended(instance, struct.pack("<HIB6sHIBIB", 0, 5, 1, xid(1), 254, 9, 1, 3 + 16 * 25, 0))
+    waits = decoder.ended(instance, struct.pack("<HIB6sHIBIB", 0, 5, 1, xid(1), 254, 9, 1, 3 + 16 * 25, 0))
     assert isinstance(waits, api.AttemptEnded)
-    assert (waits.cause, waits.wait_us) == (api.Cause.PROCESSOR_FULL, 25_000)
+    assert (waits.cause, waits.wait_us) == (api.Cause.PROCESSOR_OVERLOADED, 25_000)
 
 
 def test_every_action_is_encoded() -> None:
@@ -175,9 +175,9 @@
 def test_peer_reports_survive_the_wire(room: int) -> None:
     sent = benchlink.encode(3, api.PeerReport(7, 51 / 255, room))
     body = struct.pack("<HH", 0, 3) + sent[10:]  # to agent 0, from 3: the length and the payload
-    link = benchlink.Link()
-    link.batch(frame(1000, 1, opened()))
-    assert link.peer(link.instances[0], body) == api.PeerReport(7, 51 / 255, room)
+    decoder = benchlink.BatchDecoder()
+    decoder.batch(frame(1000, 1, opened()))
+    assert decoder.peer(decoder.instances[0], body) == api.PeerReport(7, 51 / 255, room)
 
 
 def test_a_peer_report_never_outgrows_a_message() -> None:
@@ -186,55 +186,56 @@
 
 @pytest.mark.parametrize("payload", [b"", b"hi", b"\xc1\x07", b"\xff" * 200, b"\x00" * 4])
 def test_messages_that_are_no_reports_are_dropped(payload: bytes) -> None:
-    link = benchlink.Link()
-    link.batch(frame(1000, 1, opened(), page(), listed()))
+    decoder = benchlink.BatchDecoder()
+    decoder.batch(frame(1000, 1, opened(), page(), listed()))
     body = struct.pack("<HHH", 0, 2, len(payload)) + payload
-    assert codes(link.batch(frame(2000, 2, (9, body), (9, body[:-1] if payload else body)))) == []
+    assert codes(decoder.batch(frame(2000, 2, (9, body), (9, body[:-1] if payload else body)))) == []
 
 
 def test_settings_missing_optional_null_and_necessary() -> None:
     bare = {"classes": [{"hard_limit_us": 5, "aim_us": None}], "tenants": None, "limits": None}
     settings, fields = benchlink.parse_settings(json.dumps(bare).encode())
-    assert (settings.agents, settings.attempts, settings.classes[0].aim_us, fields) == (1, None, 5, [])
+    assert (settings.controllers, settings.max_attempts) == (1, None)
+    assert (settings.classes[0].aim_us, fields) == (5, [])
     for broken in (b"{}", b"[]", b"nonsense", b'{"classes": [{}]}', b'{"classes": []}', b'{"classes": 3}'):
         with pytest.raises(benchlink.SettingsError):
             benchlink.parse_settings(broken)
 
 
 def test_missing_necessary_setting_is_sent_as_the_failure_action() -> None:
-    (action,) = actions(benchlink.Link().batch(frame(1, 1, opened(classes=None))))
+    (action,) = actions(benchlink.BatchDecoder().batch(frame(1, 1, opened(classes=None))))
     assert action[0] == 74 and b"classes" in action[1]
 
 
 def test_an_exception_in_the_decisions_is_reported(monkeypatch: pytest.MonkeyPatch) -> None:
-    link = benchlink.Link()
-    link.batch(frame(1000, 1, opened(), page(), listed()))
+    decoder = benchlink.BatchDecoder()
+    decoder.batch(frame(1000, 1, opened(), page(), listed()))
 
     def broken(*_: object) -> list[api.Action]:
         raise ValueError("broken on purpose")
 
-    monkeypatch.setattr(link.instances[0].controller, "handle", broken)
-    (action,) = actions(link.batch(frame(2000, 2, offered(5))))
+    monkeypatch.setattr(decoder.instances[0].controller, "handle", broken)
+    (action,) = actions(decoder.batch(frame(2000, 2, offered(5))))
     assert action[0] == 74 and b"broken on purpose" in action[1]
 
 
 def test_unknown_records_and_foreign_agents_are_skipped() -> None:
-    assert codes(benchlink.Link().batch(frame(1, 1, (900, b"abc"), offered(5, agent=8)))) == []
+    assert codes(benchlink.BatchDecoder().batch(frame(1, 1, (900, b"abc"), offered(5, agent=8)))) == []
 
 
 def test_pages_are_resolved_in_event_order() -> None:
     empty = 11, struct.pack("<II", 0, 0)
-    link = benchlink.Link()
-    link.batch(frame(1000, 1, opened(0), opened(1), page(), listed(0), empty, listed(1)))
-    reply = link.batch(frame(2000, 2, offered(5, agent=0), offered(6, agent=1)))
+    decoder = benchlink.BatchDecoder()
+    decoder.batch(frame(1000, 1, opened(0), opened(1), page(), listed(0), empty, listed(1)))
+    reply = decoder.batch(frame(2000, 2, offered(5, agent=0), offered(6, agent=1)))
     got = by_agent(reply)
     assert 65 in [c for c, _ in got[0]] and 66 in [c for c, _ in got[1]]
 
 
 def test_exit_forgets_the_instance() -> None:
-    link = benchlink.Link()
-    link.batch(frame(1000, 1, opened(), (10, struct.pack("<H", 0))))
-    assert not link.instances
+    decoder = benchlink.BatchDecoder()
+    decoder.batch(frame(1000, 1, opened(), (10, struct.pack("<H", 0))))
+    assert not decoder.instances
 
 
 @pytest.mark.parametrize(
--- a/tests/test_brain.py
+++ b/tests/test_controller.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from barleywheel import brain
+from barleywheel import controller
 from barleywheel import interface as api
 from barleywheel.interface import Cause, Outcome
 from tests.rig import SECOND, START, Rig, only, xid
@@ -19,7 +19,7 @@
     for _ in range(epochs):
         for _ in range(4):
             if only(rig.offer(cell), api.SetUp):
-                rig.end(Outcome.REJECTED, cell, cause=Cause.PROCESSOR_FULL)
+                rig.end(Outcome.REJECTED, cell, cause=Cause.PROCESSOR_OVERLOADED)
         rig.run(SECOND)
 
 
@@ -42,22 +42,22 @@
     rig = Rig()
     rig.circuits(1, 0)
     (sent,) = only(rig.offer(1), api.SetUp)
-    tandem = rig.brain.exchanges[sent.exchange]
-    rig.end(Outcome.REJECTED, sent.exchange[2], cause=Cause.TURNED_BACK)
-    assert tandem.weight == pytest.approx(brain.WEIGHT_DOWN)
+    tandem = rig.controller.exchanges[sent.exchange]
+    rig.end(Outcome.REJECTED, sent.exchange[2], cause=Cause.CRANKBACK)
+    assert tandem.weight == pytest.approx(controller.WEIGHT_DOWN)
     rig.circuits(1, 0)
-    rig.brain.exchanges[xid(5 - sent.exchange[2])].free = 0
+    rig.controller.exchanges[xid(5 - sent.exchange[2])].free = 0
     rig.offer(1)
     rig.stands(sent.exchange[2])
-    assert tandem.weight == pytest.approx(brain.WEIGHT_DOWN + brain.WEIGHT_UP)
+    assert tandem.weight == pytest.approx(controller.WEIGHT_DOWN + controller.WEIGHT_UP)
 
 
 def test_transit_goes_to_its_destination_or_back() -> None:
     rig = Rig()
-    (sent,) = only(rig.offer(2, in_transit=True, source=1), api.SetUp)
+    (sent,) = only(rig.offer(2, in_transit=True, source_cell=1), api.SetUp)
     assert sent.exchange == xid(2)
     rig.circuits(3, 0)
-    actions = rig.offer(3, in_transit=True, source=1)
+    actions = rig.offer(3, in_transit=True, source_cell=1)
     assert only(actions, api.Refuse) and not only(actions, api.SetUp)
 
 
@@ -66,14 +66,14 @@
     for _ in range(3):
         rig.tell(api.LoadSeen(xid(1), Outcome.OK, 1000, api.Load(utilisation=0.99)))
         rig.run(SECOND)
-    assert rig.brain.exchanges[xid(1)].f == pytest.approx((0.9 / 0.99) ** 3)
-    assert rig.brain.exchanges[xid(2)].f == 1.0
+    assert rig.controller.exchanges[xid(1)].accept_fraction == pytest.approx((0.9 / 0.99) ** 3)
+    assert rig.controller.exchanges[xid(2)].accept_fraction == 1.0
 
 
 def test_f_falls_on_full_processors_and_a_refused_draw_tries_no_route() -> None:
     rig = Rig()
     press(rig, epochs=6)
-    assert rig.brain.exchanges[xid(1)].f < 0.3
+    assert rig.controller.exchanges[xid(1)].accept_fraction < 0.3
     refused = 0
     for _ in range(40):
         actions = rig.offer(1)
@@ -88,7 +88,7 @@
     rig = Rig()
     press(rig, epochs=6)
     rig.run(12 * SECOND)
-    assert rig.brain.exchanges[xid(1)].f == 1.0
+    assert rig.controller.exchanges[xid(1)].accept_fraction == 1.0
 
 
 def test_own_occupancy_follows_the_set_up_delay() -> None:
@@ -98,7 +98,7 @@
         rig.stands(took=took)
         rig.circuits(1, 20)
     rig.run(3 * SECOND)
-    assert rig.brain.f < 1.0
+    assert rig.controller.accept_fraction < 1.0
 
 
 def test_circuits_are_counted_between_reports() -> None:
@@ -123,7 +123,7 @@
 
 def test_rule_1_transit_is_answered_in_time_too() -> None:
     rig = Rig()
-    rig.offer(1, left=SECOND, in_transit=True, source=2)
+    rig.offer(1, left=SECOND, in_transit=True, source_cell=2)
     assert [a.call for a in only(rig.run(SECOND), api.Fail)] == [1]
 
 
@@ -135,7 +135,7 @@
     rig.tell(api.CallerGone(1))
     rig.run(5 * SECOND)
     late = rig.seen[-20:]
-    assert len(only(rig.seen, api.SetUp)) == 1 and not only(late, api.Fail) and not rig.brain.calls
+    assert len(only(rig.seen, api.SetUp)) == 1 and not only(late, api.Fail) and not rig.controller.calls
 
 
 def test_rule_1_late_events_do_not_send_past_the_deadline() -> None:
@@ -143,7 +143,7 @@
     rig.circuits(1, 0)
     (sent,) = only(rig.offer(1, left=SECOND), api.SetUp)
     rig.now += 2 * SECOND  # the timer has not been delivered
-    actions = rig.end(Outcome.REJECTED, sent.exchange[2], cause=Cause.TURNED_BACK)
+    actions = rig.end(Outcome.REJECTED, sent.exchange[2], cause=Cause.CRANKBACK)
     assert only(actions, api.Fail) and not only(actions, api.SetUp)
 
 
@@ -160,21 +160,23 @@
                 out.add(action.call)
         rig.seen.clear()
         for number in rng.sample(sorted(out), k=len(out) // 2):
-            call = rig.brain.calls.get(number)
+            call = rig.controller.calls.get(number)
             out.discard(number)
-            if call is None or call.out is None:
+            if call is None or call.exchange is None:
                 continue
             kind = rng.choice([Outcome.REJECTED, Outcome.TIMEOUT, Outcome.NOT_SENT])
-            rig.end(kind, call.out.entry.cell, number, call.attempts - 1, cause=rng.choice(list(Cause)))
+            rig.end(kind, call.exchange.entry.cell, number, call.attempts - 1, cause=rng.choice(list(Cause)))
         rig.run(rng.choice([0, 100_000]))
 
 
 @pytest.mark.parametrize("mode", [api.ListMode.DELTA, api.ListMode.FULL])
-@pytest.mark.parametrize("state", [api.State.DRAINING, api.State.GONE])
-def test_rule_3_nothing_new_to_a_draining_or_gone_exchange(mode: api.ListMode, state: api.State) -> None:
+@pytest.mark.parametrize("state", [api.ExchangeState.DRAINING, api.ExchangeState.GONE])
+def test_rule_3_nothing_new_to_a_draining_or_gone_exchange(
+    mode: api.ListMode, state: api.ExchangeState
+) -> None:
     rig = Rig()
-    ready = [api.Entry(xid(c), c) for c in (0, 2, 3)] if mode is api.ListMode.FULL else []
-    rig.tell(api.Discovery(mode, [*ready, api.Entry(xid(1), 1, state)]))
+    ready = [api.ExchangeEntry(xid(c), c) for c in (0, 2, 3)] if mode is api.ListMode.FULL else []
+    rig.tell(api.Discovery(mode, [*ready, api.ExchangeEntry(xid(1), 1, state)]))
     rig.circuits(2, 0)
     sent = [a for _ in range(20) for a in only(rig.offer(1) + rig.offer(2), api.SetUp)]
     assert all(a.exchange != xid(1) for a in sent)
@@ -182,12 +184,12 @@
 
 def test_rule_3_missing_from_a_full_list_means_gone() -> None:
     rig = Rig()
-    rig.tell(api.Discovery(api.ListMode.FULL, [api.Entry(xid(c), c) for c in (0, 2, 3)]))
+    rig.tell(api.Discovery(api.ListMode.FULL, [api.ExchangeEntry(xid(c), c) for c in (0, 2, 3)]))
     assert only(rig.offer(1), api.Refuse)
 
 
 def test_rule_4_a_cold_exchange_gets_our_share_at_most() -> None:
-    rig = Rig(agents=4)
+    rig = Rig(controllers=4)
     for _ in range(20):  # a usual rate of 4 calls a second to each
         for cell in (1, 2, 3):
             for _ in range(4):
@@ -195,7 +197,7 @@
                 rig.stands(cell)
                 rig.circuits(cell, 20)
         rig.run(SECOND)
-    rig.tell(api.Discovery(api.ListMode.DELTA, [api.Entry(xid(1), 1, launched_us=rig.now)]))
+    rig.tell(api.Discovery(api.ListMode.DELTA, [api.ExchangeEntry(xid(1), 1, launched_us=rig.now)]))
     rig.seen.clear()
     for _ in range(20):
         rig.circuits(1, 20)
@@ -210,7 +212,7 @@
 
 def test_rule_4_a_fresh_agent_sends_one_call_a_window() -> None:
     rig = Rig()
-    rig.tell(api.Discovery(api.ListMode.DELTA, [api.Entry(xid(1), 1, launched_us=START)]))
+    rig.tell(api.Discovery(api.ListMode.DELTA, [api.ExchangeEntry(xid(1), 1, launched_us=START)]))
     for _ in range(30):
         rig.offer(1)
     assert len(only(rig.seen, api.SetUp)) == 1
@@ -221,7 +223,7 @@
 def test_rule_5_a_call_that_may_have_run_is_failed_and_never_sent_again(
     outcome: Outcome, effect: api.Effect
 ) -> None:
-    rig = Rig(classes=[api.ClassOfCall(aim_us=SECOND, deadline_us=9 * SECOND, effect=effect)])
+    rig = Rig(classes=[api.CallClass(aim_us=SECOND, deadline_us=9 * SECOND, effect=effect)])
     rig.circuits(1, 0)
     (sent,) = only(rig.offer(1), api.SetUp)
     rig.now += 100_000
@@ -238,21 +240,21 @@
     rig.offer(1)
     rig.run(1_500_000)
     rig.end(Outcome.TIMEOUT)
-    assert rig.brain.exchanges[xid(1)].open
+    assert rig.controller.exchanges[xid(1)].breaker_open
     rig.run(SECOND)
-    rig.brain.exchanges[xid(1)].f = 1.0
+    rig.controller.exchanges[xid(1)].accept_fraction = 1.0
     trial = rig.offer(1)
     assert only(trial, api.SetUp)
     assert only(rig.offer(1), api.Refuse)
     rig.stands(call=2)
-    assert not rig.brain.exchanges[xid(1)].open and only(rig.offer(1), api.SetUp)
+    assert not rig.controller.exchanges[xid(1)].breaker_open and only(rig.offer(1), api.SetUp)
 
 
 def test_breaker_opens_while_calls_still_wait() -> None:
     rig = Rig()
     rig.offer(1, left=9 * SECOND)
     rig.run(3 * SECOND)
-    assert rig.brain.exchanges[xid(1)].open
+    assert rig.controller.exchanges[xid(1)].breaker_open
 
 
 def test_breaker_stays_closed_while_others_are_answered() -> None:
@@ -263,7 +265,7 @@
     rig.stands(call=2)
     rig.run(SECOND)
     rig.end(Outcome.TIMEOUT, call=1)
-    assert not rig.brain.exchanges[xid(1)].open
+    assert not rig.controller.exchanges[xid(1)].breaker_open
 
 
 def test_falling_can_take_lowers_f_and_an_old_figure_does_not() -> None:
@@ -271,10 +273,10 @@
     for value in (12.0, 3.0):
         rig.tell(api.LoadSeen(xid(1), Outcome.OK, 9, api.Load(can_take=value)))
     rig.run(SECOND)
-    low = rig.brain.exchanges[xid(1)].f
+    low = rig.controller.exchanges[xid(1)].accept_fraction
     assert low == pytest.approx(0.5)
     rig.run(SECOND)
-    assert rig.brain.exchanges[xid(1)].f > low
+    assert rig.controller.exchanges[xid(1)].accept_fraction > low
 
 
 def test_unknown_load_is_not_zero_load() -> None:
@@ -282,7 +284,7 @@
     rig.tell(api.LoadSeen(xid(1), Outcome.OK, 9, api.Load(utilisation=0.95)))
     rig.tell(api.LoadSeen(xid(1), Outcome.OK, 9, api.Load()))
     rig.run(SECOND)
-    assert rig.brain.exchanges[xid(1)].f < 1.0
+    assert rig.controller.exchanges[xid(1)].accept_fraction < 1.0
 
 
 def test_long_set_up_delay_beyond_our_own_lowers_f() -> None:
@@ -292,7 +294,10 @@
             rig.offer(cell)
             rig.stands(cell, took=took)
     rig.run(SECOND)
-    assert rig.brain.exchanges[xid(1)].f < 1.0 and rig.brain.exchanges[xid(2)].f == 1.0
+    assert (
+        rig.controller.exchanges[xid(1)].accept_fraction < 1.0
+        and rig.controller.exchanges[xid(2)].accept_fraction == 1.0
+    )
 
 
 def test_trunk_reservation_keeps_the_last_circuits_for_direct_calls() -> None:
@@ -307,17 +312,17 @@
 def test_no_overflow_towards_a_pressed_processor() -> None:
     rig = Rig()
     rig.circuits(1, 0)
-    rig.brain.exchanges[xid(1)].f = 0.5
+    rig.controller.exchanges[xid(1)].accept_fraction = 0.5
     assert only(rig.offer(1), api.Refuse)
 
 
 def test_crankback_tries_another_tandem_within_the_attempts() -> None:
-    rig = Rig(attempts=2)
+    rig = Rig(max_attempts=2)
     rig.circuits(1, 0)
     (one,) = only(rig.offer(1), api.SetUp)
-    (two,) = only(rig.end(Outcome.REJECTED, one.exchange[2], cause=Cause.TURNED_BACK), api.SetUp)
+    (two,) = only(rig.end(Outcome.REJECTED, one.exchange[2], cause=Cause.CRANKBACK), api.SetUp)
     assert two.exchange != one.exchange
-    last = rig.end(Outcome.REJECTED, two.exchange[2], attempt=1, cause=Cause.TURNED_BACK)
+    last = rig.end(Outcome.REJECTED, two.exchange[2], attempt=1, cause=Cause.CRANKBACK)
     assert only(last, api.Refuse)
     assert not only(last, api.SetUp)
 
@@ -326,18 +331,18 @@
     rig = Rig()
     rig.circuits(1, 0)
     (one,) = only(rig.offer(1), api.SetUp)
-    back = rig.end(Outcome.REJECTED, one.exchange[2], cause=Cause.TURNED_BACK, beyond_full=True)
+    back = rig.end(Outcome.REJECTED, one.exchange[2], cause=Cause.CRANKBACK, downstream_overloaded=True)
     assert only(back, api.Refuse)
 
 
 def test_the_draw_refuses_low_worth_first_at_equal_mean() -> None:
     rig = Rig()
-    target = rig.brain.exchanges[xid(1)]
+    target = rig.controller.exchanges[xid(1)]
     taken = {0: 0, 1: 0}
     for index in range(400):
         kind = index % 2
         rig.circuits(1, 20)
-        target.f = 0.5
+        target.accept_fraction = 0.5
         if only(rig.offer(1, call_class=kind), api.SetUp):
             taken[kind] += 1
             rig.stands()
@@ -346,27 +351,27 @@
 
 def test_redialled_calls_rank_below_first_tries() -> None:
     rig = Rig()
-    target = rig.brain.exchanges[xid(1)]
+    target = rig.controller.exchanges[xid(1)]
     taken = {True: 0, False: 0}
     for index in range(200):
         rig.circuits(1, 20)
-        target.f = 0.5
+        target.accept_fraction = 0.5
         if only(rig.offer(1, redialled=index % 2 == 0), api.SetUp):
             taken[index % 2 == 0] += 1
             rig.stands()
     assert taken[False] > 4 * taken[True]
 
 
-def test_numbers_found_engaged_are_remembered_for_a_bounded_time_and_number() -> None:
+def test_numbers_found_busy_are_remembered_for_a_bounded_time_and_number() -> None:
     rig = Rig()
     for number in range(100, 400):
         rig.circuits(1, 20)
-        rig.offer(1, number=number)
-        rig.end(Outcome.ERROR, cause=Cause.LINES_ENGAGED)
-    assert len(rig.brain.engaged) == brain.ENGAGED_KEPT
-    rig.run(brain.ENGAGED_US)
+        rig.offer(1, called_number=number)
+        rig.end(Outcome.ERROR, cause=Cause.SUBSCRIBER_BUSY)
+    assert len(rig.controller.busy_numbers) == controller.MAX_BUSY_NUMBERS
+    rig.run(controller.BUSY_NUMBER_US)
     rig.circuits(1, 0)
-    assert only(rig.offer(1, number=399), api.SetUp)
+    assert only(rig.offer(1, called_number=399), api.SetUp)
 
 
 def test_attempts_end_with_the_aim() -> None:
@@ -379,8 +384,8 @@
 
 
 def test_pools_take_second_choices_of_the_class_only() -> None:
-    kind = api.ClassOfCall(aim_us=SECOND, deadline_us=9 * SECOND, pools=(1, 3))
-    rig = Rig(pools=True, home=-1, classes=[kind])
+    kind = api.CallClass(aim_us=SECOND, deadline_us=9 * SECOND, pools=(1, 3))
+    rig = Rig(pools=True, home_cell=-1, classes=[kind])
     rig.circuits(1, 0)
     assert [a.exchange for a in only(rig.offer(1), api.SetUp)] == [xid(3)]
 
@@ -392,7 +397,7 @@
 
 
 def test_discovery_on_request_is_asked_for_again_until_it_answers() -> None:
-    rig = Rig(on_request=True, ask_within_us=4 * SECOND)
+    rig = Rig(discovery_on_request=True, ask_within_us=4 * SECOND)
     assert len(only(rig.seen, api.Subscribe)) == 1
     rig.tell(api.Discovery(api.ListMode.FAILED, []))
     rig.run(3 * SECOND)
@@ -432,28 +437,28 @@
     rig = Rig()
     for number in range(3000):
         rig.circuits(1, 20)
-        rig.offer(1, number=number)
+        rig.offer(1, called_number=number)
         rig.stands()
         rig.run(50_000)
-    state = rig.brain
-    assert not state.calls and len(state.timers) < 70 and not state.exchanges[xid(1)].waiting
+    state = rig.controller
+    assert not state.calls and len(state.timers) < 70 and not state.exchanges[xid(1)].pending
     assert len(state.exchanges[xid(1)].sends) < 60
 
 
 def test_module_limits() -> None:
-    text = Path(brain.__file__).read_text()
+    text = Path(controller.__file__).read_text()
     assert sum(bool(line.strip()) for line in text.splitlines()) <= 500  # as the operators allow
     assert max(map(len, text.splitlines())) <= 110
 
 
-def test_no_overflow_for_a_number_lately_engaged() -> None:
+def test_no_overflow_for_a_number_lately_busy() -> None:
     rig = Rig()
-    rig.offer(1, number=7)
-    rig.end(Outcome.ERROR, cause=Cause.LINES_ENGAGED)
+    rig.offer(1, called_number=7)
+    rig.end(Outcome.ERROR, cause=Cause.SUBSCRIBER_BUSY)
     rig.run(SECOND)
     rig.circuits(1, 0)
-    assert only(rig.offer(1, number=7), api.Refuse)
-    assert only(rig.offer(1, number=8), api.SetUp)
+    assert only(rig.offer(1, called_number=7), api.Refuse)
+    assert only(rig.offer(1, called_number=8), api.SetUp)
 
 
 def test_redialled_calls_leave_the_last_circuits_to_first_tries() -> None:
@@ -486,14 +491,17 @@
     rig.tell(api.LoadSeen(xid(1), Outcome.OK, 9, load))
     rig.tell(api.LoadSeen(xid(1), Outcome.OK, 9, api.Load(can_take=12.0)))
     rig.run(3 * SECOND)
-    assert rig.brain.exchanges[xid(1)].f == 1.0 and rig.brain.exchanges[xid(1)].free == 20
+    assert (
+        rig.controller.exchanges[xid(1)].accept_fraction == 1.0
+        and rig.controller.exchanges[xid(1)].free == 20
+    )
 
 
-def test_rule_4_the_share_shrinks_with_the_number_of_agents() -> None:
-    rig = Rig(agents=50)
+def test_rule_4_the_share_shrinks_with_the_number_of_controllers() -> None:
+    rig = Rig(controllers=50)
     for cell in (2, 3):
         rig.tell(api.LoadSeen(xid(cell), Outcome.OK, 9, api.Load(can_take=10.0)))
-    rig.tell(api.Discovery(api.ListMode.DELTA, [api.Entry(xid(1), 1, launched_us=START)]))
+    rig.tell(api.Discovery(api.ListMode.DELTA, [api.ExchangeEntry(xid(1), 1, launched_us=START)]))
     for _ in range(50):
         rig.offer(1)
         rig.stands()
@@ -507,11 +515,11 @@
     rig = Rig()
     rig.offer(1)
     rig.stands()
-    rig.tell(api.Discovery(api.ListMode.DELTA, [api.Entry(xid(1), 1, launched_us=START)]))
+    rig.tell(api.Discovery(api.ListMode.DELTA, [api.ExchangeEntry(xid(1), 1, launched_us=START)]))
     assert only(rig.offer(1), api.Refuse)
 
 
-# What agents tell each other.
+# What controllers tell each other.
 
 
 def test_overflow_goes_only_where_a_tandem_told_of_room() -> None:
@@ -536,7 +544,7 @@
     rig.circuits(2, 0)
     assert all(a.exchange != xid(1) for a in only(rig.offer(2), api.SetUp))
     rig.run(120 * SECOND)
-    assert rig.brain.exchanges[xid(1)].told == 1.0
+    assert rig.controller.exchanges[xid(1)].reported_fraction == 1.0
 
 
 def test_a_processor_whose_every_set_up_waits_is_told_and_holds_its_own_calls() -> None:
@@ -547,7 +555,7 @@
                 rig.stands(cell, took=took)
             rig.circuits(cell, 20)
         rig.run(500_000)
-    assert only(rig.seen, api.PeerReport)[-1].accept < 0.5
+    assert only(rig.seen, api.PeerReport)[-1].accept_fraction < 0.5
     assert only(rig.seen, api.PeerReport)[-1].cell == 0
 
 
@@ -557,7 +565,7 @@
         for cell in (1, 2, 3):
             rig.offer(cell)
         rig.run(500_000)
-    assert only(rig.seen, api.PeerReport)[-1].accept < 0.8
+    assert only(rig.seen, api.PeerReport)[-1].accept_fraction < 0.8
 
 
 def test_one_slow_far_processor_is_not_taken_for_our_own() -> None:
@@ -568,15 +576,15 @@
             rig.stands(cell, took=took)
             rig.circuits(cell, 20)
         rig.run(500_000)
-    assert all(a.accept == 1.0 for a in only(rig.seen, api.PeerReport))
+    assert all(a.accept_fraction == 1.0 for a in only(rig.seen, api.PeerReport))
 
 
 def test_reports_of_a_mesh_of_60_are_few_and_none_where_not_allowed() -> None:
-    rig = Rig(cells=60, agents=60, may_message=True)
+    rig = Rig(cells=60, controllers=60, may_message=True)
     rig.run(200 * SECOND)
     assert 1 <= len(only(rig.seen, api.PeerReport)) <= 4
-    assert only(rig.seen, api.PeerReport)[0].room == (1 << 60) - 2
-    silent = Rig(cells=60, agents=60)
+    assert only(rig.seen, api.PeerReport)[0].reachable_cells == (1 << 60) - 2
+    silent = Rig(cells=60, controllers=60)
     silent.run(60 * SECOND)
     assert not only(silent.seen, api.PeerReport)
 
@@ -584,7 +592,7 @@
 def test_news_waits_while_many_others_tell_theirs() -> None:
     told = {}
     for heard in (0, 90):
-        rig = Rig(cells=100, agents=100, may_message=True)
+        rig = Rig(cells=100, controllers=100, may_message=True)
         rig.run(2 * SECOND)
         rig.seen.clear()
         for _ in range(8):
@@ -602,17 +610,17 @@
     for _ in range(6):
         for cell in (1, 2, 3):
             if only(rig.offer(cell), api.SetUp):
-                rig.end(Outcome.REJECTED, cell, cause=Cause.PROCESSOR_FULL)
+                rig.end(Outcome.REJECTED, cell, cause=Cause.PROCESSOR_OVERLOADED)
         rig.run(500_000)
-    assert min(a.accept for a in only(rig.seen, api.PeerReport)) < 0.6
+    assert min(a.accept_fraction for a in only(rig.seen, api.PeerReport)) < 0.6
     other = Rig(may_message=True)  # full from one, while calls to the others stand: the far one's
     for _ in range(6):
         if only(other.offer(1), api.SetUp):
-            other.end(Outcome.REJECTED, 1, cause=Cause.PROCESSOR_FULL)
+            other.end(Outcome.REJECTED, 1, cause=Cause.PROCESSOR_OVERLOADED)
         other.offer(2)
         other.stands(2)
         other.run(500_000)
-    assert other.brain.told == 1.0
+    assert other.controller.inbound_fraction == 1.0
 
 
 def test_redialled_calls_take_no_second_group() -> None:
@@ -626,9 +634,9 @@
 def test_rule_4_a_cold_exchange_is_measured_by_what_it_could_take_and_says_it_can() -> None:
     sent = {}
     for said in (None, 12.0, 1000.0):
-        rig = Rig(agents=4)
+        rig = Rig(controllers=4)
         rig.tell(api.LoadSeen(xid(1), Outcome.OK, 9, api.Load(can_take=20.0)))
-        rig.tell(api.Discovery(api.ListMode.DELTA, [api.Entry(xid(1), 1, launched_us=rig.now)]))
+        rig.tell(api.Discovery(api.ListMode.DELTA, [api.ExchangeEntry(xid(1), 1, launched_us=rig.now)]))
         rig.run(5 * SECOND)
         if said:
             rig.tell(api.LoadSeen(xid(1), Outcome.OK, 9, api.Load(can_take=said)))
@@ -638,7 +646,7 @@
             if only(rig.offer(1), api.SetUp):
                 rig.stands()
         sent[said] = len(only(rig.seen, api.SetUp))
-    share = 2.0 * 2 / 4  # multiple x window over agents
+    share = 2.0 * 2 / 4  # multiple x window over controllers
     assert sent[None] == share * 0.3 * 20  # the coldest share of what it could take before
     assert sent[12.0] == share * 12  # what it says
     assert sent[1000.0] <= share * 0.65 * 20 + 1  # never more than steady warming gives
@@ -647,13 +655,13 @@
 def test_rule_4_in_a_mesh_of_60_all_agents_together_keep_the_budget() -> None:
     sent = 0
     for seed in range(60):
-        rig = Rig(cells=60, seed=seed, agents=60)
+        rig = Rig(cells=60, seed=seed, controllers=60)
         for cell in range(2, 60):
             rig.tell(api.LoadSeen(xid(cell), Outcome.OK, 9, api.Load(can_take=12.0)))
         rig.tell(api.LoadSeen(xid(1), Outcome.OK, 9, api.Load(can_take=12.0)))
         rig.offer(1)
         rig.stands()
-        rig.tell(api.Discovery(api.ListMode.DELTA, [api.Entry(xid(1), 1, launched_us=rig.now)]))
+        rig.tell(api.Discovery(api.ListMode.DELTA, [api.ExchangeEntry(xid(1), 1, launched_us=rig.now)]))
         rig.seen.clear()
         for _ in range(18):
             rig.offer(1)
@@ -668,7 +676,7 @@
     for cell in (1, 2, 3) * 40:
         rig.circuits(cell, 20)
         sent += len(only(rig.offer(cell), api.SetUp))
-    assert brain.BURST_LEAST <= sent < 60
+    assert controller.BURST_LEAST <= sent < 60
     steady = Rig()  # as many calls, each standing before the next: no burst
     for cell in (1, 2, 3) * 40:
         steady.circuits(cell, 20)
@@ -685,12 +693,12 @@
     (sent,) = only(rig.offer(1), api.SetUp)
     assert sent.exchange != xid(1)
     rig.run(10 * SECOND)
-    assert not only(rig.seen, api.PeerReport)[-1].room & 0b10
+    assert not only(rig.seen, api.PeerReport)[-1].reachable_cells & 0b10
 
 
 def test_lists_alike_in_all_attributes_are_followed() -> None:
     rig = Rig()
-    rig.tell(api.Discovery(api.ListMode.FULL, [api.Entry(xid(c), 1) for c in range(4)]))
+    rig.tell(api.Discovery(api.ListMode.FULL, [api.ExchangeEntry(xid(c), 1) for c in range(4)]))
     assert only(rig.offer(1), api.SetUp)
     assert only(rig.offer(2), api.Refuse)
 
@@ -700,14 +708,18 @@
     for turn in range(400):
         for cell in (1, 2, 3):
             rig.circuits(cell, 20)
-            rig.offer(cell, number=turn)
+            rig.offer(cell, called_number=turn)
             rig.stands(cell)
         if turn % 10 == 0:
             rig.tell(api.PeerReport(1, 0.2, 0b1100))
         rig.run(30 * SECOND)
-    state = rig.brain
-    assert not state.calls and len(state.timers) <= 2 and len(state.engaged) <= brain.ENGAGED_KEPT
-    assert state.f == state.told == 1.0 and all(x.f == 1.0 for x in state.exchanges.values())
+    state = rig.controller
+    assert (
+        not state.calls and len(state.timers) <= 2 and len(state.busy_numbers) <= controller.MAX_BUSY_NUMBERS
+    )
+    assert state.accept_fraction == state.inbound_fraction == 1.0 and all(
+        x.accept_fraction == 1.0 for x in state.exchanges.values()
+    )
     assert only(rig.offer(2), api.SetUp)
 
 
@@ -727,7 +739,7 @@
     [
         ({}, {}, 4),
         ({"effect": api.Effect.GUARDED}, {}, 1),
-        ({}, {"cause": Cause.LINES_ENGAGED}, 1),
+        ({}, {"cause": Cause.SUBSCRIBER_BUSY}, 1),
         ({"aim_us": 150_000}, {}, 2),
     ],  # the third would come after the aim
 )
@@ -735,7 +747,7 @@
     changes: dict[str, Any], ended: dict[str, Any], sent: int
 ) -> None:
     """Three more times, to the same exchange; errors may be a share of all only."""
-    rig = Rig(classes=[api.ClassOfCall(**{"aim_us": SECOND, "deadline_us": 9 * SECOND} | changes)])
+    rig = Rig(classes=[api.CallClass(**{"aim_us": SECOND, "deadline_us": 9 * SECOND} | changes)])
     rig.offer(1)
     assert only(rig.end(Outcome.ERROR), api.Fail)  # a lone error is not worth the work
     actions, made = rig.offer(1), 0
@@ -748,7 +760,7 @@
 
 def test_a_lost_answer_is_no_queue() -> None:
     """One set-up in ten stays unanswered while later ones stand: nothing is refused for it."""
-    rig = Rig(classes=[api.ClassOfCall(aim_us=300_000, deadline_us=2 * SECOND)])
+    rig = Rig(classes=[api.CallClass(aim_us=300_000, deadline_us=2 * SECOND)])
     refused = 0
     for at in range(200):
         rig.circuits(1, 20)
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -608,8 +608,8 @@
     settings = SETTINGS | {"classes": [{"name": "voice", "aim_us": 900_000, "hard_limit_us": longest_us}]}
     path = tmp_path / "config.json"
     path.write_text(json.dumps({"settings": settings, "journal": "127.0.0.1:1", "listen": "127.0.0.1:1"}))
-    router = Router(config.load({"LB_CONFIG": str(path)}), config.Extras())
-    assert router.leave_s == pytest.approx(leave_s)
+    router = Router(config.load({"LB_CONFIG": str(path)}), config.OperatorConfig())
+    assert router.shutdown_s == pytest.approx(leave_s)
 
 
 @pytest.mark.parametrize(
