--- a/barleywheel/__main__.py
+++ b/barleywheel/__main__.py
@@ -53,9 +53,11 @@
         return 2
     log.info("serving: name=%s listen=%s hubs=%d", conf.name, conf.listen, len(router.facade.entries))
     router.stop.wait()
-    log.info("leaving: open=%d standing=%d", len(router.life.open), len(router.standing.legs))
+    log.info(
+        "leaving: open=%d standing=%d", len(router.call_manager.open_calls), len(router.established.legs)
+    )
     router.leave()
-    log.info("left: open=%d standing=%d", len(router.life.open), len(router.standing.legs))
+    log.info("left: open=%d standing=%d", len(router.call_manager.open_calls), len(router.established.legs))
     return 0
 
 
--- a/barleywheel/config.py
+++ b/barleywheel/config.py
@@ -77,7 +77,7 @@
             seed=int(str(raw.get("seed", "0")), 16),
             sockets=int((raw.get("limits") or {}).get("sockets", 1024)),
             connect_timeout_us=int(limits.get("connect_timeout_us") or 500_000),
-            known=journal_wire.events(raw.get("known") or {}),
+            known=journal_wire.parse_events(raw.get("known") or {}),
             settings=parsed,
             names={
                 "classes": classes,
--- a/barleywheel/core/deadlines.py
+++ b/barleywheel/core/deadlines.py
@@ -12,7 +12,7 @@
 from barleywheel.core.runtime import now_us
 
 log = logging.getLogger(__name__)
-Handle = tuple[int, int, Callable[[], Any]]
+DeadlineHandle = tuple[int, int, Callable[[], Any]]
 
 
 class Deadlines:
@@ -23,7 +23,7 @@
         self._number = 0
         self._wake = runtime.event()
 
-    def at(self, due_us: int, action: Callable[[], Any]) -> Handle:
+    def schedule(self, due_us: int, action: Callable[[], Any]) -> DeadlineHandle:
         """Run the action at the given time."""
         self._number += 1
         handle = (due_us, self._number, action)
@@ -32,11 +32,11 @@
             self._wake.set()
         return handle
 
-    def drop(self, handle: Handle) -> None:
+    def cancel(self, handle: DeadlineHandle) -> None:
         """Forget a deadline, whether it has come or not."""
         self._due.discard(handle)
 
-    def sweep(self, now: int) -> None:
+    def run_due(self, now: int) -> None:
         """Run what is due."""
         while self._due and self._due[0][0] <= now:
             action = self._due.pop(0)[2]
@@ -49,7 +49,7 @@
         """Sweep for ever, once a turn."""
         while True:
             self._wake.clear()
-            self.sweep(now_us())
+            self.run_due(now_us())
             wait = (self._due[0][0] - now_us()) / 1e6 if self._due else None
             if wait is None or wait > 0:
                 self._wake.wait(wait)
--- a/barleywheel/core/model.py
+++ b/barleywheel/core/model.py
@@ -10,45 +10,45 @@
 from barleywheel.core import runtime
 from barleywheel.core.runtime import now_us
 
-CAUSE_NORMAL = 16
+CAUSE_NORMAL_CLEARING = 16
 CAUSE_NO_CIRCUIT = 34
-CAUSE_CUT = 41
-CAUSE_CONGESTION = 42
-CAUSE_BAD_CALL = 95
-CAUSE_EXPIRED = 102
+CAUSE_TEMPORARY_FAILURE = 41
+CAUSE_SWITCH_CONGESTION = 42
+CAUSE_INVALID_MESSAGE = 95
+CAUSE_TIMER_EXPIRED = 102
 
 
-class End(Enum):
+class AttemptStatus(Enum):
     """How an attempt ended."""
 
-    STANDS = "stands"
+    ANSWERED = "stands"
     ERROR = "error"
-    FULL = "full"
+    REFUSED = "full"
     TIMEOUT = "timeout"
     UNREACHABLE = "unreachable"
     RESET = "reset"
     NOT_SENT = "not sent"
-    GONE = "caller gone"  # the caller gave the set-up up while the attempt was out
+    CALLER_GONE = "caller gone"  # the caller gave the set-up up while the attempt was out
     CLOSED = "closed"  # the module answered the call while the attempt was out
 
 
-class Note(Enum):
+class RefusalReason(Enum):
     """What a far side adds to a refusal."""
 
     NONE = ""
     NO_CIRCUIT = "congestion"
-    TURNED_BACK = "crankback"
-    BEYOND_FULL = "remote_throttled"
-    PROCESSOR_FULL = "throttled"
-    ENGAGED = "engaged"
+    CRANKBACK = "crankback"
+    DOWNSTREAM_OVERLOADED = "remote_throttled"
+    PROCESSOR_OVERLOADED = "throttled"
+    SUBSCRIBER_BUSY = "engaged"
 
 
 @dataclass(slots=True)
-class Outcome:
+class AttemptResult:
     """The end of one attempt; ``at_us`` is when its last byte was read."""
 
-    end: End
-    note: Note = Note.NONE
+    status: AttemptStatus
+    reason: RefusalReason = RefusalReason.NONE
     load: dict[str, float] = field(default_factory=dict)
     description: bytes = b""
     at_us: int = 0
@@ -60,17 +60,17 @@
 
     ref: str
     class_name: str
-    left_us: int
+    time_left_us: int
     destination: int
-    number: str
+    called_number: str
     description: bytes
     received_us: int
-    origin: Origin
+    origin: CallOrigin
     width: float = 1.0
-    source: int | None = None
+    source_cell: int | None = None
     redialled: bool = False
     in_transit: bool = False
-    cut_before: bool = False
+    interrupted_before: bool = False
 
 
 @dataclass(slots=True)
@@ -81,14 +81,14 @@
     retry_after_us: int = 0
 
 
-class Releases(Protocol):
+class ReleaseListener(Protocol):
     """Who is told that a call is over."""
 
     def release(self, ref: str, cause: int) -> None:
         """A call that stood is over."""
 
 
-class Origin(Releases, Protocol):
+class CallOrigin(ReleaseListener, Protocol):
     """Where a request came from and where its one answer goes."""
 
     def answer(self, request: Request, description: bytes) -> bool:
@@ -99,14 +99,14 @@
 
 
 @dataclass(slots=True)
-class Send:
+class PlaceAttempt:
     """Decision: make an attempt."""
 
     hub: bytes
     limit_us: int
 
 
-Decision = Send | Rejection
+Decision = PlaceAttempt | Rejection
 
 
 class Call:
@@ -117,22 +117,22 @@
         self.attempts = 0
         self.attempt: Attempt | None = None
         self.abandoned = False  # the caller gave up: no answer is owed any more
-        self.verdict: Rejection | None = None  # given by the module while an attempt was out
-        self.released: int | None = None  # the hub ended the call before the answer was passed on
-        self.guard_us = 0  # not sent again before this
-        self.marks: dict[object, int] = {}  # the carriers' own: what was sent where
+        self.final_decision: Rejection | None = None  # given by the module while an attempt was out
+        self.release_cause: int | None = None  # the hub ended the call before the answer was passed on
+        self.guard_until_us = 0  # not sent again before this
+        self.carrier_data: dict[object, int] = {}  # the carriers' own: what was sent where
 
     def close(self, rejection: Rejection) -> None:
         """The module gave the final answer on a turn of its own."""
-        self.verdict = rejection
+        self.final_decision = rejection
         if self.attempt is not None:
-            self.attempt.end(Outcome(End.CLOSED))
+            self.attempt.finish(AttemptResult(AttemptStatus.CLOSED))
 
     def abandon(self) -> None:
         """The caller gave up."""
         self.abandoned = True
         if self.attempt is not None:
-            self.attempt.end(Outcome(End.GONE))
+            self.attempt.finish(AttemptResult(AttemptStatus.CALLER_GONE))
 
 
 class Carrier(Protocol):
@@ -155,34 +155,34 @@
         self.call, self.hub, self.limit_us, self.may_send = call, hub, limit_us, may_send
         self.index = call.attempts
         self.started_us = self.sent_us = now_us()
-        self.slot: object = None  # the carrier's own
-        self.outcome: Outcome | None = None
+        self.carrier_state: object = None  # the carrier's own
+        self.result: AttemptResult | None = None
         self._ended = runtime.event()
 
     @property
-    def over(self) -> bool:
+    def has_ended(self) -> bool:
         """Whether the attempt has ended."""
-        return self.outcome is not None
+        return self.result is not None
 
     @property
-    def stands(self) -> bool:
+    def answered(self) -> bool:
         """Whether the attempt has ended with a call that stands."""
-        return self.outcome is not None and self.outcome.end is End.STANDS
+        return self.result is not None and self.result.status is AttemptStatus.ANSWERED
 
-    def end(self, outcome: Outcome) -> bool:
+    def finish(self, result: AttemptResult) -> bool:
         """End the attempt, unless it has ended already."""
-        if self.outcome is not None:
+        if self.result is not None:
             return False
-        outcome.at_us = outcome.at_us or now_us()
-        self.outcome = outcome
+        result.at_us = result.at_us or now_us()
+        self.result = result
         self._ended.set()
         return True
 
-    def wait(self) -> Outcome:
+    def wait(self) -> AttemptResult:
         """Block until the attempt ends."""
         self._ended.wait()
-        assert self.outcome is not None
-        return self.outcome
+        assert self.result is not None
+        return self.result
 
 
 @dataclass(slots=True)
@@ -192,5 +192,5 @@
     ref: str
     hub: bytes
     carrier: Carrier
-    origin: Origin
-    slot: object = None
+    origin: CallOrigin
+    carrier_state: object = None
--- a/barleywheel/core/release.py
+++ b/barleywheel/core/release.py
@@ -5,54 +5,55 @@
 import logging
 
 from barleywheel.core.deadlines import Deadlines
-from barleywheel.core.model import CAUSE_CUT, Leg, Releases
+from barleywheel.core.model import CAUSE_TEMPORARY_FAILURE, Leg, ReleaseListener
 from barleywheel.core.runtime import now_us
 
 log = logging.getLogger(__name__)
 ENDED_KEPT_US = 30_000_000  # how long an ended call's id is remembered, so that a repeat is known as one
 
 
-class Standing:
+class EstablishedCalls:
     """Registry of the calls that stand."""
 
     def __init__(self, deadlines: Deadlines) -> None:
         self.legs: dict[str, Leg] = {}
-        self.ended: set[str] = set()
-        self.stranger_to: Releases | None = None  # who is told of calls that stood before our start
+        self.recently_ended: set[str] = set()
+        # who is told of calls that stood before our start
+        self.unknown_release_listener: ReleaseListener | None = None
         self._deadlines = deadlines
 
     def add(self, leg: Leg) -> None:
         """A call stands."""
         self.legs[leg.ref] = leg
 
-    def forget(self, ref: str) -> None:
+    def remember_ended(self, ref: str) -> None:
         """Remember an ended call's id for a while."""
-        if ref not in self.ended:
-            self.ended.add(ref)
-            self._deadlines.at(now_us() + ENDED_KEPT_US, lambda: self.ended.discard(ref))
+        if ref not in self.recently_ended:
+            self.recently_ended.add(ref)
+            self._deadlines.schedule(now_us() + ENDED_KEPT_US, lambda: self.recently_ended.discard(ref))
 
-    def by_hub(self, ref: str, cause: int) -> None:
+    def release_from_hub(self, ref: str, cause: int) -> None:
         """The hub's side released a call."""
         leg = self.legs.pop(ref, None)
         if leg is not None:
-            self.forget(ref)
+            self.remember_ended(ref)
             leg.origin.release(ref, cause)
-        elif ref not in self.ended and self.stranger_to is not None:
+        elif ref not in self.recently_ended and self.unknown_release_listener is not None:
             # Guards calls that stood before a restart: their callers wait for a release all the same.
-            self.forget(ref)
+            self.remember_ended(ref)
             log.info("release of a call from before the start: ref=%s cause=%d", ref, cause)
-            self.stranger_to.release(ref, cause)
+            self.unknown_release_listener.release(ref, cause)
 
-    def by_caller(self, ref: str, cause: int) -> bool:
+    def release_from_caller(self, ref: str, cause: int) -> bool:
         """The caller's side released a call."""
         leg = self.legs.pop(ref, None)
         if leg is None:
             return False
-        self.forget(ref)
+        self.remember_ended(ref)
         leg.carrier.release(leg, cause)
         return True
 
-    def hub_dead(self, hub: bytes) -> None:
+    def release_all_at_hub(self, hub: bytes) -> None:
         """The hub's process is known to be dead, and with it every call there."""
         for ref in [ref for ref, leg in self.legs.items() if leg.hub == hub]:
-            self.by_hub(ref, CAUSE_CUT)
+            self.release_from_hub(ref, CAUSE_TEMPORARY_FAILURE)
--- a/barleywheel/core/runtime.py
+++ b/barleywheel/core/runtime.py
@@ -1,6 +1,6 @@
 """What the process gives to every part: time, greenlets, waits, and ids that nobody can guess.
 
-This module alone owns time. ``Gevent`` is what serves; whatever is put in its place by ``using`` (the
+This module alone owns time. ``Gevent`` is what serves; whatever is put in its place by ``use_runtime`` (the
 virtual runtime of ``barleywheel.virtual``) runs the same parts on a clock of its own. One is in force in a
 process at a time, so that no part has to be handed it.
 """
@@ -45,8 +45,10 @@
     def sleep(self, seconds: float) -> None:
         """Block this greenlet; 0 gives the others a turn."""
 
-    def spawn(self, target: Callable[..., Any], *args: Any, broken: Callable[[object], None] | None) -> None:
-        """Start a greenlet; ``broken`` hears of its end by an exception."""
+    def spawn(
+        self, target: Callable[..., Any], *args: Any, on_error: Callable[[object], None] | None
+    ) -> None:
+        """Start a greenlet; ``on_error`` hears of its end by an exception."""
 
     def event(self) -> Event:
         """A new flag, down."""
@@ -75,11 +77,13 @@
         """See ``Runtime``."""
         gevent.sleep(seconds)
 
-    def spawn(self, target: Callable[..., Any], *args: Any, broken: Callable[[object], None] | None) -> None:
+    def spawn(
+        self, target: Callable[..., Any], *args: Any, on_error: Callable[[object], None] | None
+    ) -> None:
         """See ``Runtime``."""
         greenlet = gevent.spawn(target, *args)
-        if broken is not None:
-            greenlet.link_exception(broken)
+        if on_error is not None:
+            greenlet.link_exception(on_error)
 
     def event(self) -> Event:
         """See ``Runtime``."""
@@ -109,9 +113,9 @@
     _in_force.sleep(seconds)
 
 
-def spawn(target: Callable[..., Any], *args: Any, broken: Callable[[object], None] | None = None) -> None:
-    """Start a greenlet; ``broken`` hears of its end by an exception."""
-    _in_force.spawn(target, *args, broken=broken)
+def spawn(target: Callable[..., Any], *args: Any, on_error: Callable[[object], None] | None = None) -> None:
+    """Start a greenlet; ``on_error`` hears of its end by an exception."""
+    _in_force.spawn(target, *args, on_error=on_error)
 
 
 def event() -> Event:
@@ -125,7 +129,7 @@
 
 
 @contextmanager
-def using(runtime: Runtime) -> Iterator[None]:
+def use_runtime(runtime: Runtime) -> Iterator[None]:
     """Put another runtime in force for a while; what was made under one must not live on under another."""
     global _in_force
     before, _in_force = _in_force, runtime
--- a/barleywheel/facade.py
+++ b/barleywheel/facade.py
@@ -14,38 +14,38 @@
 from barleywheel.brain import Controller
 from barleywheel.core.deadlines import Deadlines
 from barleywheel.core.model import (
-    CAUSE_CONGESTION,
-    CAUSE_CUT,
+    CAUSE_SWITCH_CONGESTION,
+    CAUSE_TEMPORARY_FAILURE,
     Attempt,
+    AttemptResult,
+    AttemptStatus,
     Call,
     Decision,
-    End,
-    Note,
-    Outcome,
+    PlaceAttempt,
+    RefusalReason,
     Rejection,
-    Send,
 )
 from barleywheel.core.runtime import from_unix_us, now_us
 from barleywheel.wire.journal import Endpoint
 
 log = logging.getLogger(__name__)
 ENDS = {
-    End.ERROR: api.Outcome.ERROR,
-    End.FULL: api.Outcome.REJECTED,
-    End.TIMEOUT: api.Outcome.TIMEOUT,
-    End.UNREACHABLE: api.Outcome.UNREACHABLE,
-    End.RESET: api.Outcome.RESET,
-    End.NOT_SENT: api.Outcome.NOT_SENT,
-    End.GONE: api.Outcome.CANCELLED,
-    End.CLOSED: api.Outcome.CANCELLED,
+    AttemptStatus.ERROR: api.Outcome.ERROR,
+    AttemptStatus.REFUSED: api.Outcome.REJECTED,
+    AttemptStatus.TIMEOUT: api.Outcome.TIMEOUT,
+    AttemptStatus.UNREACHABLE: api.Outcome.UNREACHABLE,
+    AttemptStatus.RESET: api.Outcome.RESET,
+    AttemptStatus.NOT_SENT: api.Outcome.NOT_SENT,
+    AttemptStatus.CALLER_GONE: api.Outcome.CANCELLED,
+    AttemptStatus.CLOSED: api.Outcome.CANCELLED,
 }
 CAUSES = {
-    Note.NONE: api.Cause.NONE,
-    Note.NO_CIRCUIT: api.Cause.NO_CIRCUIT,
-    Note.TURNED_BACK: api.Cause.TURNED_BACK,
-    Note.BEYOND_FULL: api.Cause.TURNED_BACK,
-    Note.PROCESSOR_FULL: api.Cause.PROCESSOR_FULL,
-    Note.ENGAGED: api.Cause.LINES_ENGAGED,
+    RefusalReason.NONE: api.Cause.NONE,
+    RefusalReason.NO_CIRCUIT: api.Cause.NO_CIRCUIT,
+    RefusalReason.CRANKBACK: api.Cause.TURNED_BACK,
+    RefusalReason.DOWNSTREAM_OVERLOADED: api.Cause.TURNED_BACK,
+    RefusalReason.PROCESSOR_OVERLOADED: api.Cause.PROCESSOR_FULL,
+    RefusalReason.SUBSCRIBER_BUSY: api.Cause.LINES_ENGAGED,
 }
 # Reports name their values as the settings do, or by the short names of the protocol's page.
 SHORT = {
@@ -117,21 +117,21 @@
             call,
             api.CallOffered(
                 call=call.number,
-                time_left_us=max(0, request.left_us - (now - request.received_us)),
+                time_left_us=max(0, request.time_left_us - (now - request.received_us)),
                 destination=request.destination,
                 call_class=self._names["classes"][request.class_name],
-                number=int(request.number, 16) if request.number else 0,
+                number=int(request.called_number, 16) if request.called_number else 0,
                 redialled=request.redialled,
                 in_transit=request.in_transit,
-                cut_before=request.cut_before,
-                source=request.source if request.in_transit else None,
-                advice=None if request.in_transit else request.source,
+                cut_before=request.interrupted_before,
+                source=request.source_cell if request.in_transit else None,
+                advice=None if request.in_transit else request.source_cell,
                 width=request.width,
             ),
             now,
         )
 
-    def report(self, attempt: Attempt, outcome: Outcome) -> Decision:
+    def report(self, attempt: Attempt, result: AttemptResult) -> Decision:
         """Tell how an attempt ended; what to do next."""
         return self._decide(
             attempt.call,
@@ -139,22 +139,22 @@
                 call=attempt.call.number,
                 attempt=attempt.index,
                 exchange=attempt.hub,
-                outcome=ENDS[outcome.end],
-                elapsed_us=max(0, outcome.at_us - attempt.sent_us),
-                cause=CAUSES[outcome.note],
-                beyond_full=outcome.note is Note.BEYOND_FULL,
-                load=_load(outcome.load),
+                outcome=ENDS[result.status],
+                elapsed_us=max(0, result.at_us - attempt.sent_us),
+                cause=CAUSES[result.reason],
+                beyond_full=result.reason is RefusalReason.DOWNSTREAM_OVERLOADED,
+                load=_load(result.load),
             ),
             now_us(),
         )
 
-    def stands(self, attempt: Attempt, outcome: Outcome) -> None:
+    def stands(self, attempt: Attempt, result: AttemptResult) -> None:
         """Tell that a call stands."""
         self._calls.pop(attempt.call.number, None)
-        elapsed = max(0, outcome.at_us - attempt.sent_us)
+        elapsed = max(0, result.at_us - attempt.sent_us)
         self._tell(api.CallStands(attempt.call.number, attempt.index, attempt.hub, elapsed))
-        if outcome.load:
-            self.group(attempt.hub, outcome.load)
+        if result.load:
+            self.group(attempt.hub, result.load)
 
     def gone(self, call: Call) -> None:
         """Tell that the caller left."""
@@ -204,7 +204,7 @@
         if decision is None:
             # Guards a caller's one answer should the module be silent about a call that it was asked on.
             log.error("module gave no decision: ref=%s", call.request.ref)
-            decision = Rejection(CAUSE_CUT)
+            decision = Rejection(CAUSE_TEMPORARY_FAILURE)
         if isinstance(decision, Rejection):
             self._calls.pop(call.number, None)
         return decision
@@ -215,14 +215,14 @@
         for action in self._module.handle(now or now_us(), event):
             match action:
                 case api.SetUp():
-                    decisions[action.call] = Send(action.exchange, action.limit_us)
+                    decisions[action.call] = PlaceAttempt(action.exchange, action.limit_us)
                 case api.Refuse():
-                    decisions[action.call] = Rejection(CAUSE_CONGESTION, action.retry_after_us)
+                    decisions[action.call] = Rejection(CAUSE_SWITCH_CONGESTION, action.retry_after_us)
                 case api.Fail():
-                    decisions[action.call] = Rejection(CAUSE_CUT)
+                    decisions[action.call] = Rejection(CAUSE_TEMPORARY_FAILURE)
                 case api.SetTimer():
                     due: Callable[[], None] = partial(self.tick, action.token)
-                    self._deadlines.at(action.due_us, due)
+                    self._deadlines.schedule(action.due_us, due)
                 case api.Log():
                     log.info("module: %s", action.text)
                 case _:
--- a/barleywheel/fronts/m3ua.py
+++ b/barleywheel/fronts/m3ua.py
@@ -14,15 +14,15 @@
 
 from barleywheel.config import M3uaConfig, PeerConfig
 from barleywheel.core import causes, runtime
-from barleywheel.core.deadlines import Deadlines, Handle
-from barleywheel.core.life import Life
+from barleywheel.core.call_manager import CallManager
+from barleywheel.core.deadlines import DeadlineHandle, Deadlines
 from barleywheel.core.model import (
-    CAUSE_CUT,
+    CAUSE_TEMPORARY_FAILURE,
     Attempt,
-    End,
+    AttemptResult,
+    AttemptStatus,
     Leg,
-    Note,
-    Outcome,
+    RefusalReason,
     Rejection,
     Request,
 )
@@ -38,18 +38,18 @@
 CONGESTED_US = 3_000_000  # how long an SCON counts unless it is told anew
 
 
-class State(Enum):
+class CircuitState(Enum):
     """State of a circuit."""
 
     IDLE = "idle"
-    IN = "in"  # IAM heard, not yet answered
-    OUT = "out"  # IAM sent, not yet answered
-    UP = "up"
+    INCOMING = "in"  # IAM heard, not yet answered
+    OUTGOING = "out"  # IAM sent, not yet answered
+    ANSWERED = "up"
     RELEASING = "releasing"  # REL sent or waiting for the link; RLC awaited
     BLOCKED = "blocked"  # no RLC came: not used until the peer resets it
 
 
-class Asp(Enum):
+class AspState(Enum):
     """State of the peer's ASP on a link."""
 
     DOWN = "down"
@@ -62,20 +62,20 @@
     """One circuit and the call on it."""
 
     cic: int
-    state: State = State.IDLE
+    state: CircuitState = CircuitState.IDLE
     ref: str = ""
     attempt: Attempt | None = None  # OUT: what is answered by ANM or REL
     cause: int = 16  # RELEASING: of the release
     queued: bool = False  # RELEASING: waits for the link
     sent: int = 0  # RELEASING: RELs sent
-    timer: Handle | None = None
+    timer: DeadlineHandle | None = None
 
 
 class Link(Connection):
     """A connection and its ASP's state."""
 
-    asp = Asp.DOWN
-    peer_of: Peer | None = None
+    asp = AspState.DOWN
+    exchange: Peer | None = None
     heard_us = 0
 
 
@@ -98,7 +98,7 @@
     @property
     def active(self) -> bool:
         """Whether DATA may be sent."""
-        return self.link is not None and self.link.open and self.link.asp is Asp.ACTIVE
+        return self.link is not None and self.link.open and self.link.asp is AspState.ACTIVE
 
     def send(self, message: isup.Message) -> bool:
         """Send a message of a circuit; False if the link is not active."""
@@ -112,151 +112,156 @@
             ni=conf.network_indicator,
             sls=message.cic & 15,
         )
-        return self.link.write(m3ua.data(transfer, conf.routing_context))
+        return self.link.write(m3ua.encode_transfer(transfer, conf.routing_context))
 
     # Circuits.
 
-    def ours(self, cic: int) -> bool:
+    def controls_circuit(self, cic: int) -> bool:
         """Whether we control a circuit at dual seizure: the higher point code has the even ones (Q.764)."""
         return (self.front.conf.point_code > self.conf.point_code) == (cic % 2 == 0)
 
     def seize(self) -> Circuit | None:
         """An idle circuit, one that we control if there is any; None when all are taken."""
-        idle = [circuit for circuit in self.circuits.values() if circuit.state is State.IDLE]
-        return min(idle, key=lambda circuit: not self.ours(circuit.cic)) if idle else None
+        idle = [circuit for circuit in self.circuits.values() if circuit.state is CircuitState.IDLE]
+        return min(idle, key=lambda circuit: not self.controls_circuit(circuit.cic)) if idle else None
 
     def free(self, circuit: Circuit) -> None:
         """The circuit is idle again."""
         if circuit.timer is not None:
-            self.front.deadlines.drop(circuit.timer)
+            self.front.deadlines.cancel(circuit.timer)
         self._forget(circuit)
-        circuit.state = State.IDLE  # whoever still holds the old one must not release a later call by it
+        # whoever still holds the old one must not release a later call by it
+        circuit.state = CircuitState.IDLE
         self.circuits[circuit.cic] = Circuit(circuit.cic)
-        self.tell()
+        self.report_circuits()
 
-    def tell(self) -> None:
+    def report_circuits(self) -> None:
         """Tell the module the circuits of the group, as a hub's NOTIFY does."""
         if self.conf.cell is None:
             return
-        idle = sum(circuit.state is State.IDLE for circuit in self.circuits.values())
+        idle = sum(circuit.state is CircuitState.IDLE for circuit in self.circuits.values())
         for hub in self.front.facade.hubs_of(self.conf.cell):
             self.front.facade.group(hub, {"free": idle, "size": len(self.circuits)})
 
-    def hang_up(self, circuit: Circuit, cause: int) -> None:
+    def start_release(self, circuit: Circuit, cause: int) -> None:
         """Send REL, or let it wait for the link; the circuit is taken until RLC."""
-        circuit.state, circuit.attempt, circuit.cause, circuit.sent = State.RELEASING, None, cause, 0
+        circuit.state, circuit.attempt, circuit.cause, circuit.sent = CircuitState.RELEASING, None, cause, 0
         self._forget(circuit)
-        self.rel(circuit)
+        self.send_rel(circuit)
 
     def _forget(self, circuit: Circuit) -> None:
         if self.by_ref.get(circuit.ref) is circuit:
             del self.by_ref[circuit.ref]
 
-    def rel(self, circuit: Circuit) -> None:
+    def send_rel(self, circuit: Circuit) -> None:
         """Send REL once and wait for its RLC, or queue it: it goes out when the ASP is active again."""
         circuit.timer = None
-        if circuit.state is not State.RELEASING:
+        if circuit.state is not CircuitState.RELEASING:
             return
         if circuit.sent >= RELEASES:
             log.warning("circuit blocked, no RLC: peer=%d cic=%d", self.conf.point_code, circuit.cic)
-            circuit.state = State.BLOCKED
+            circuit.state = CircuitState.BLOCKED
         elif self.send(isup.Message(circuit.cic, isup.Type.REL, cause=circuit.cause)):
             circuit.queued, circuit.sent = False, circuit.sent + 1
             due = now_us() + self.front.conf.rlc_ms * 1000
-            circuit.timer = self.front.deadlines.at(due, partial(self.rel, circuit))
+            circuit.timer = self.front.deadlines.schedule(due, partial(self.send_rel, circuit))
         else:
             circuit.queued = True
 
     # The link.
 
-    def activated(self) -> None:
+    def handle_link_active(self) -> None:
         """The ASP is active: what waits goes out, each release once."""
         waiting = [circuit for circuit in self.circuits.values() if circuit.queued]
         if waiting:
             log.info("waiting releases sent: peer=%d count=%d", self.conf.point_code, len(waiting))
         for circuit in waiting:
-            self.rel(circuit)
-        self.tell()
+            self.send_rel(circuit)
+        self.report_circuits()
 
-    def dropped(self) -> None:
+    def handle_link_down(self) -> None:
         """The ASP is no longer active: open set-ups end as reset, standing calls live on."""
         for circuit in list(self.circuits.values()):
             ref = circuit.ref
-            if circuit.state is State.OUT and circuit.attempt is not None:
+            if circuit.state is CircuitState.OUTGOING and circuit.attempt is not None:
                 attempt = circuit.attempt
-                self.hang_up(circuit, CAUSE_CUT)
-                attempt.end(Outcome(End.RESET))
-            elif circuit.state is State.IN:
-                self.hang_up(circuit, CAUSE_CUT)
-                self.front.life.abandon(ref)
+                self.start_release(circuit, CAUSE_TEMPORARY_FAILURE)
+                attempt.finish(AttemptResult(AttemptStatus.RESET))
+            elif circuit.state is CircuitState.INCOMING:
+                self.start_release(circuit, CAUSE_TEMPORARY_FAILURE)
+                self.front.call_manager.abandon(ref)
 
     # Carrier.
 
     def place(self, attempt: Attempt) -> None:
         """Seize a circuit and send IAM."""
         if not attempt.may_send(attempt.hub):
-            attempt.end(Outcome(End.NOT_SENT))
+            attempt.finish(AttemptResult(AttemptStatus.NOT_SENT))
         elif not self.active or self.unavailable:
-            attempt.end(Outcome(End.UNREACHABLE))
+            attempt.finish(AttemptResult(AttemptStatus.UNREACHABLE))
         elif now_us() < self.congested_us:
-            attempt.end(Outcome(End.FULL, Note.PROCESSOR_FULL))
+            attempt.finish(AttemptResult(AttemptStatus.REFUSED, RefusalReason.PROCESSOR_OVERLOADED))
         elif (circuit := self.seize()) is None:
-            attempt.end(Outcome(End.NOT_SENT, Note.NO_CIRCUIT))
+            attempt.finish(AttemptResult(AttemptStatus.NOT_SENT, RefusalReason.NO_CIRCUIT))
         else:
             request = attempt.call.request
             category = self.front.category(request.class_name)
             try:
                 iam = isup.Message(
-                    circuit.cic, isup.Type.IAM, request.number, category, description=request.description
+                    circuit.cic,
+                    isup.Type.IAM,
+                    request.called_number,
+                    category,
+                    description=request.description,
                 )
                 isup.encode(iam)
             except ValueError as error:  # a description that this wire has no room for
                 log.warning("call can't be placed: ref=%s %s", request.ref, error)
-                attempt.end(Outcome(End.ERROR))
+                attempt.finish(AttemptResult(AttemptStatus.ERROR))
                 return
-            attempt.sent_us, attempt.slot = now_us(), circuit
-            circuit.state, circuit.ref, circuit.attempt = State.OUT, request.ref, attempt
+            attempt.sent_us, attempt.carrier_state = now_us(), circuit
+            circuit.state, circuit.ref, circuit.attempt = CircuitState.OUTGOING, request.ref, attempt
             if self.send(iam):
-                self.tell()
-            elif not attempt.over:
-                attempt.end(Outcome(End.UNREACHABLE))
+                self.report_circuits()
+            elif not attempt.has_ended:
+                attempt.finish(AttemptResult(AttemptStatus.UNREACHABLE))
                 self.free(circuit)
 
     def cancel(self, attempt: Attempt) -> None:
         """Give up a set-up: its circuit is released."""
-        circuit = attempt.slot
-        if isinstance(circuit, Circuit) and circuit.attempt is attempt and attempt.outcome is not None:
-            self.hang_up(circuit, causes.TO_CAUSE[attempt.outcome.end])
+        circuit = attempt.carrier_state
+        if isinstance(circuit, Circuit) and circuit.attempt is attempt and attempt.result is not None:
+            self.start_release(circuit, causes.TO_CAUSE[attempt.result.status])
 
     def release(self, leg: Leg, cause: int) -> None:
         """Take down a call that stands: one that we placed."""
-        circuit = leg.slot
-        if isinstance(circuit, Circuit) and circuit.state is State.UP and circuit.ref == leg.ref:
-            self.hang_up(circuit, cause)
+        circuit = leg.carrier_state
+        if isinstance(circuit, Circuit) and circuit.state is CircuitState.ANSWERED and circuit.ref == leg.ref:
+            self.start_release(circuit, cause)
 
     # Origin.
 
     def answer(self, request: Request, description: bytes) -> bool:
         """ANM: the call stands. Where it can't be sent, the call is released instead."""
         circuit = self.by_ref.get(request.ref)
-        if circuit is None or circuit.state is not State.IN:
+        if circuit is None or circuit.state is not CircuitState.INCOMING:
             return False
         try:
             anm = isup.Message(circuit.cic, isup.Type.ANM, description=description)
             sent = self.send(anm)
         except ValueError as error:
             log.warning("answer can't be passed on: ref=%s %s", request.ref, error)
-            self.hang_up(circuit, causes.INTERWORKING)
+            self.start_release(circuit, causes.INTERWORKING)
             return False
         if sent:
-            circuit.state = State.UP
+            circuit.state = CircuitState.ANSWERED
         return sent
 
     def reject(self, request: Request, rejection: Rejection) -> None:
         """REL in place of an answer."""
         circuit = self.by_ref.get(request.ref)
-        if circuit is not None and circuit.state is State.IN:
-            self.hang_up(circuit, rejection.cause)
+        if circuit is not None and circuit.state is CircuitState.INCOMING:
+            self.start_release(circuit, rejection.cause)
 
 
 class Incoming:
@@ -269,15 +274,17 @@
     def release(self, ref: str, cause: int) -> None:
         """A call that stood is over."""
         circuit = self.peer.by_ref.get(ref)
-        if circuit is not None and circuit.state is State.UP:
-            self.peer.hang_up(circuit, cause)
+        if circuit is not None and circuit.state is CircuitState.ANSWERED:
+            self.peer.start_release(circuit, cause)
 
 
 class M3uaFront:
     """Listens for the peers' ASPs; they come up, become active and carry calls."""
 
-    def __init__(self, conf: M3uaConfig, life: Life, facade: Facade, deadlines: Deadlines) -> None:
-        self.conf, self.life, self.facade, self.deadlines = conf, life, facade, deadlines
+    def __init__(
+        self, conf: M3uaConfig, call_manager: CallManager, facade: Facade, deadlines: Deadlines
+    ) -> None:
+        self.conf, self.call_manager, self.facade, self.deadlines = conf, call_manager, facade, deadlines
         self.peers = {peer.point_code: Peer(self, peer) for peer in conf.peers}
         self.origins = {code: Incoming(peer) for code, peer in self.peers.items()}
         self.links: set[Link] = set()
@@ -285,7 +292,7 @@
         self._categories = {item.category: name for name, item in conf.classes.items()}
         for peer in self.peers.values():
             if peer.conf.cell is not None:
-                life.carriers[peer.conf.cell] = peer
+                call_manager.carriers[peer.conf.cell] = peer
 
     def category(self, class_name: str) -> int:
         """The calling party's category that stands for a class."""
@@ -318,19 +325,19 @@
     def _serve(self, link: Link) -> None:
         self.links.add(link)
         link.heard_us = now_us()
-        self.deadlines.at(now_us() + self.conf.up_ms * 1000, partial(self._still_down, link))
+        self.deadlines.schedule(now_us() + self.conf.up_ms * 1000, partial(self._still_down, link))
         self._beat(link)
-        for message in link.messages(m3ua.cut):
+        for message in link.messages(m3ua.parse_next):
             link.heard_us = now_us()
             try:
                 self._heard(link, message)
             except Exception:  # one peer's message may not end the process
                 log.exception("message of a peer not understood: peer=%s", link.peer)
         self.links.discard(link)
-        self._down(link, Asp.DOWN)
+        self._down(link, AspState.DOWN)
 
     def _still_down(self, link: Link) -> None:
-        if link.open and link.asp is Asp.DOWN:
+        if link.open and link.asp is AspState.DOWN:
             log.warning("link closed, no ASPUP in time: peer=%s", link.peer)
             link.close()
 
@@ -343,21 +350,21 @@
             log.warning("link closed, no answer to BEAT: peer=%s", link.peer)
             link.close()
             return
-        if link.asp is not Asp.DOWN:
+        if link.asp is not AspState.DOWN:
             link.write(m3ua.encode(Kind.BEAT, {Tag.HEARTBEAT: now_us().to_bytes(8, "big")}))
-        self.deadlines.at(now_us() + period, partial(self._beat, link))
+        self.deadlines.schedule(now_us() + period, partial(self._beat, link))
 
-    def _down(self, link: Link, state: Asp) -> None:
+    def _down(self, link: Link, state: AspState) -> None:
         """The ASP leaves the active state, or the link is gone."""
-        peer, was = link.peer_of, link.asp
+        peer, was = link.exchange, link.asp
         link.asp = state
         if peer is None or peer.link is not link:
             return
-        if state is Asp.DOWN:
+        if state is AspState.DOWN:
             peer.link = None
-        if was is Asp.ACTIVE:
+        if was is AspState.ACTIVE:
             log.info("link down: peer=%d", peer.conf.point_code)
-            peer.dropped()
+            peer.handle_link_down()
 
     def _error(self, link: Link, error: Error) -> None:
         log.warning("error sent: peer=%s code=%s", link.peer, error.name)
@@ -375,7 +382,7 @@
             case Kind.ASPUP:
                 self._up(link, message)
             case Kind.ASPDN:
-                self._down(link, Asp.DOWN)
+                self._down(link, AspState.DOWN)
                 link.write(m3ua.encode(Kind.ASPDN_ACK))
             case Kind.BEAT:
                 data = message.parameters.get(Tag.HEARTBEAT)
@@ -384,12 +391,12 @@
                 pass
             case Kind.ERR:
                 log.warning("error heard: peer=%s code=%s", link.peer, message.number(Tag.ERROR_CODE))
-            case Kind.ASPAC | Kind.ASPIA if link.peer_of is None or link.asp is Asp.DOWN:
+            case Kind.ASPAC | Kind.ASPIA if link.exchange is None or link.asp is AspState.DOWN:
                 self._error(link, Error.UNEXPECTED_MESSAGE)
             case Kind.ASPAC:
                 self._activate(link)
             case Kind.ASPIA:
-                self._down(link, Asp.INACTIVE)
+                self._down(link, AspState.INACTIVE)
                 link.write(m3ua.encode(Kind.ASPIA_ACK, self._context()))
                 link.write(m3ua.encode(Kind.NTFY, self._context() | {Tag.STATUS: m3ua.AS_PENDING}))
             case Kind.DATA:
@@ -418,34 +425,35 @@
         if not found:
             self._error(link, Error.NO_AS_FOR_ASP)
             return
-        if link.asp is Asp.ACTIVE:  # ASPUP on an active link takes it back to inactive (RFC 4666, 4.3.4.1)
-            self._down(link, Asp.INACTIVE)
-        link.peer_of, link.asp = found[0], Asp.INACTIVE
+        # ASPUP on an active link takes it back to inactive (RFC 4666, 4.3.4.1)
+        if link.asp is AspState.ACTIVE:
+            self._down(link, AspState.INACTIVE)
+        link.exchange, link.asp = found[0], AspState.INACTIVE
         link.write(m3ua.encode(Kind.ASPUP_ACK))
         link.write(m3ua.encode(Kind.NTFY, self._context() | {Tag.STATUS: m3ua.AS_INACTIVE}))
 
     def _activate(self, link: Link) -> None:
-        peer = link.peer_of
+        peer = link.exchange
         assert peer is not None
         old = peer.link
         if old is not None and old is not link:  # the peer came back before its old link was seen to end
-            self._down(old, Asp.DOWN)
+            self._down(old, AspState.DOWN)
             old.close()
-        again = link.asp is Asp.ACTIVE
-        peer.link, link.asp, peer.unavailable = link, Asp.ACTIVE, False
+        again = link.asp is AspState.ACTIVE
+        peer.link, link.asp, peer.unavailable = link, AspState.ACTIVE, False
         link.write(m3ua.encode(Kind.ASPAC_ACK, self._context()))
         if not again:
             link.write(m3ua.encode(Kind.NTFY, self._context() | {Tag.STATUS: m3ua.AS_ACTIVE}))
             log.info("link active: peer=%d", peer.conf.point_code)
-            peer.activated()
+            peer.handle_link_active()
 
     def _network(self, link: Link, message: m3ua.Message) -> None:
-        points = message.points()
+        points = message.point_codes()
         if not points:
             self._error(link, Error.MISSING_PARAMETER)
         for point in points:
             peer = self.peers.get(point)
-            if peer is None or link.asp is not Asp.ACTIVE:
+            if peer is None or link.asp is not AspState.ACTIVE:
                 continue
             log.info("network news: peer=%d %s", point, Kind(message.code).name)
             if message.code == Kind.SCON:
@@ -457,8 +465,8 @@
     # Calls.
 
     def _data(self, link: Link, message: m3ua.Message) -> None:
-        transfer = m3ua.transferred(message)
-        if link.asp is not Asp.ACTIVE:
+        transfer = m3ua.decode_transfer(message)
+        if link.asp is not AspState.ACTIVE:
             self._error(link, Error.UNEXPECTED_MESSAGE)
             return
         if transfer is None:
@@ -466,7 +474,7 @@
             return
         peer = self.peers.get(transfer.opc)
         if (
-            peer is not link.peer_of
+            peer is not link.exchange
             or peer is None
             or transfer.dpc != self.conf.point_code
             or (transfer.si != m3ua.SI_ISUP)
@@ -481,7 +489,7 @@
             return
         try:
             heard = isup.decode(transfer.user)
-        except isup.Unreadable as error:
+        except isup.IsupDecodeError as error:
             log.warning("ISUP message dropped: peer=%d %s", transfer.opc, error)
             return
         circuit = peer.circuits.get(heard.cic)
@@ -497,7 +505,7 @@
                 self._rel(peer, circuit, heard)
             case isup.Type.RLC:
                 # One that came too late proves as well that the peer holds the circuit idle.
-                if circuit.state in (State.RELEASING, State.BLOCKED) and not circuit.queued:
+                if circuit.state in (CircuitState.RELEASING, CircuitState.BLOCKED) and not circuit.queued:
                     peer.free(circuit)
             case isup.Type.ACM:
                 pass  # progress
@@ -505,27 +513,27 @@
                 log.info("ISUP message not used: peer=%d type=%d", transfer.opc, heard.type)
 
     def _iam(self, peer: Peer, circuit: Circuit, heard: isup.Message) -> None:
-        if circuit.state is State.OUT and not peer.ours(circuit.cic):
+        if circuit.state is CircuitState.OUTGOING and not peer.controls_circuit(circuit.cic):
             self._back_off(peer, circuit)
             circuit = peer.circuits[circuit.cic]
-        if circuit.state is not State.IDLE:
+        if circuit.state is not CircuitState.IDLE:
             # Dual seizure of a circuit that we control, or a repeat: the other side backs off.
             log.info("IAM on a taken circuit dropped: peer=%d cic=%d", peer.conf.point_code, circuit.cic)
             return
         class_name = self._categories.get(heard.category, "")
         known = self.conf.classes.get(class_name)
         ref = runtime.token()
-        circuit.state, circuit.ref = State.IN, ref
+        circuit.state, circuit.ref = CircuitState.INCOMING, ref
         peer.by_ref[ref] = circuit
-        peer.tell()
+        peer.report_circuits()
         peer.send(isup.Message(circuit.cic, isup.Type.ACM))
-        self.life.take(
+        self.call_manager.accept(
             Request(
                 ref=ref,
                 class_name=class_name,
-                left_us=known.patience_ms * 1000 if known else 0,
+                time_left_us=known.patience_ms * 1000 if known else 0,
                 destination=self._destination(heard.number),
-                number=heard.number,
+                called_number=heard.number,
                 description=heard.description,
                 received_us=now_us(),
                 origin=self.origins[peer.conf.point_code],
@@ -544,36 +552,40 @@
         attempt = circuit.attempt
         log.info("dual seizure lost: peer=%d cic=%d", peer.conf.point_code, circuit.cic)
         peer.free(circuit)
-        if attempt is not None and not attempt.over:
-            peer.circuits[circuit.cic].state = State.BLOCKED  # not for the new try: the peer's call has it
+        if attempt is not None and not attempt.has_ended:
+            # not for the new try: the peer's call has it
+            peer.circuits[circuit.cic].state = CircuitState.BLOCKED
             peer.place(attempt)
-            peer.circuits[circuit.cic].state = State.IDLE
+            peer.circuits[circuit.cic].state = CircuitState.IDLE
 
     def _anm(self, peer: Peer, circuit: Circuit, heard: isup.Message) -> None:
         attempt = circuit.attempt
-        if circuit.state is State.OUT and attempt is not None:
+        if circuit.state is CircuitState.OUTGOING and attempt is not None:
             circuit.attempt = None
-            circuit.state = State.UP
-            if not attempt.end(Outcome(End.STANDS, description=heard.description, at_us=now_us())):
-                peer.hang_up(circuit, 16)  # the answer came in the turn in which the attempt was given up
+            circuit.state = CircuitState.ANSWERED
+            if not attempt.finish(
+                AttemptResult(AttemptStatus.ANSWERED, description=heard.description, at_us=now_us())
+            ):
+                # the answer came in the turn in which the attempt was given up
+                peer.start_release(circuit, 16)
 
     def _rel(self, peer: Peer, circuit: Circuit, heard: isup.Message) -> None:
         """The peer releases, or resets, a circuit: RLC, and whatever was on it is over."""
         state, ref, attempt = circuit.state, circuit.ref, circuit.attempt
         peer.free(circuit)
         peer.send(isup.Message(circuit.cic, isup.Type.RLC))
-        cause = heard.cause if heard.type == isup.Type.REL else CAUSE_CUT
-        if state is State.OUT and attempt is not None:
-            end, note = causes.from_cause(cause)
-            attempt.end(Outcome(end, note, at_us=now_us()))
-        elif state is State.IN:
-            self.life.abandon(ref)
-        elif state is State.UP and ref in self.life.standing.legs:
-            leg = self.life.standing.legs[ref]
-            if leg.slot is circuit:
-                self.life.standing.by_hub(ref, cause)
+        cause = heard.cause if heard.type == isup.Type.REL else CAUSE_TEMPORARY_FAILURE
+        if state is CircuitState.OUTGOING and attempt is not None:
+            status, reason = causes.from_cause(cause)
+            attempt.finish(AttemptResult(status, reason, at_us=now_us()))
+        elif state is CircuitState.INCOMING:
+            self.call_manager.abandon(ref)
+        elif state is CircuitState.ANSWERED and ref in self.call_manager.established.legs:
+            leg = self.call_manager.established.legs[ref]
+            if leg.carrier_state is circuit:
+                self.call_manager.established.release_from_hub(ref, cause)
             else:
-                self.life.standing.by_caller(ref, cause)
-        elif state is State.UP and peer.conf.cell is not None:
+                self.call_manager.established.release_from_caller(ref, cause)
+        elif state is CircuitState.ANSWERED and peer.conf.cell is not None:
             for hub in self.facade.hubs_of(peer.conf.cell):  # answered a moment ago, not yet passed on
-                self.life.released(hub, ref, cause)
+                self.call_manager.handle_hub_release(hub, ref, cause)
--- a/barleywheel/fronts/platform.py
+++ b/barleywheel/fronts/platform.py
@@ -9,9 +9,9 @@
 from typing import Any
 
 from barleywheel.core import runtime
+from barleywheel.core.call_manager import CallManager
 from barleywheel.core.deadlines import Deadlines
-from barleywheel.core.life import Life
-from barleywheel.core.model import CAUSE_CUT, CAUSE_NORMAL, Rejection, Request
+from barleywheel.core.model import CAUSE_NORMAL_CLEARING, CAUSE_TEMPORARY_FAILURE, Rejection, Request
 from barleywheel.core.runtime import now_us
 from barleywheel.net import sockets
 from barleywheel.net.connection import Connection
@@ -33,23 +33,24 @@
     def __init__(self, front: PlatformFront, conn: Connection) -> None:
         self.front, self.conn = front, conn
         self.refs: set[str] = set()  # set-ups open on it
-        self.asked = False  # a whole message has come on it
+        self.has_sent_message = False  # a whole message has come on it
         self.trust = 0  # 1: it has sent what can be used; 2: a call of it stood
-        self.standing = 0  # calls that it has been told to stand, and not yet told to be over
+        self.established_count = 0  # calls that it has been told to stand, and not yet told to be over
 
     def answer(self, request: Request, description: bytes) -> bool:
         """Tell that the call stands."""
         data = jsonlines.encode("up", request.ref, description=description)
         if len(data) > jsonlines.LIMIT:  # escaped, it has grown beyond what the wire allows
-            self.reject(request, Rejection(CAUSE_CUT))
+            self.reject(request, Rejection(CAUSE_TEMPORARY_FAILURE))
             return False
         self.refs.discard(request.ref)
-        self.trust, self.standing = 2, self.standing + 1
+        self.trust, self.established_count = 2, self.established_count + 1
         return self.conn.write(data)
 
     def reject(self, request: Request, rejection: Rejection) -> None:
         """Tell that the call is refused or failed, and when to come back where the module advises it."""
-        if request.ref not in self.front.life.open:  # a repeat of an open id: the first is still open here
+        # a repeat of an open id: the first is still open here
+        if request.ref not in self.front.call_manager.open_calls:
             self.refs.discard(request.ref)
         ms = math.ceil(rejection.retry_after_us / 1000)
         advice = {"wait": str(ms)} if ms else {}
@@ -57,18 +58,18 @@
 
     def release(self, ref: str, cause: int) -> None:
         """Tell that a call that stood is over."""
-        self.standing -= 1
+        self.established_count -= 1
         self.front.release(ref, cause, self.conn)
 
 
 class PlatformFront:
     """Listens for callers."""
 
-    def __init__(self, life: Life, deadlines: Deadlines, most: int) -> None:
-        self.life, self.deadlines, self.most = life, deadlines, most
+    def __init__(self, call_manager: CallManager, deadlines: Deadlines, max_callers: int) -> None:
+        self.call_manager, self.deadlines, self.max_callers = call_manager, deadlines, max_callers
         self.callers: OrderedDict[Caller, None] = OrderedDict()  # the one that spoke last comes last
-        self.waiting: dict[str, int] = {}  # releases that no connection was open for
-        self.leaving = self.closed = False
+        self.pending_releases: dict[str, int] = {}  # releases that no connection was open for
+        self.shutting_down = self.closed = False
         self._listener: sockets.Listener | None = None
 
     def listen(self, address: str) -> None:
@@ -87,7 +88,7 @@
                 log.warning("accept failed: %s", error)  # out of descriptors: some come free in time
                 runtime.sleep(0.05)
                 continue
-            if len(self.callers) >= self.most and not self._make_room():
+            if len(self.callers) >= self.max_callers and not self._make_room():
                 log.warning("connection closed, too many callers: peer=%s:%d", *address)
                 sock.close()
                 continue
@@ -95,15 +96,15 @@
             caller = Caller(self, conn)
             self.callers[caller] = None
             runtime.spawn(self._serve, caller)
-            if len(self.callers) >= self.most:
+            if len(self.callers) >= self.max_callers:
                 runtime.sleep(0)  # a closed one's descriptor comes free when its reader has had a turn
 
     def _trust(self, caller: Caller) -> None:
         """It has sent what can be used: releases that found nobody go there."""
         caller.trust = max(caller.trust, 1)
-        for ref, cause in self.waiting.items():
+        for ref, cause in self.pending_releases.items():
             caller.conn.write(jsonlines.encode("down", ref, cause=cause))
-        self.waiting.clear()
+        self.pending_releases.clear()
 
     def close(self) -> None:
         """Take no further connections."""
@@ -111,7 +112,7 @@
         if self._listener is not None:
             self._listener.close()
 
-    def hang_up(self) -> bool:
+    def close_idle(self) -> bool:
         """Close every connection on which nothing is open or unread; True when none is left."""
         for caller in self._quiet():
             if not caller.conn.unread():
@@ -123,7 +124,7 @@
         return [
             caller
             for caller in self.callers
-            if not caller.refs and caller.conn.clear and not len(caller.conn.buffer)
+            if not caller.refs and caller.conn.can_write_now and not len(caller.conn.buffer)
         ]
 
     def _make_room(self) -> bool:
@@ -131,19 +132,21 @@
         quiet = self._quiet()
         # The silent go first, then those that sent nothing of use; last those whose calls stand, as they are
         # told on it: the rest may go to a peer that is no caller.
-        quiet.sort(key=lambda caller: (caller.asked, caller.trust, caller.standing > 0))
+        quiet.sort(key=lambda caller: (caller.has_sent_message, caller.trust, caller.established_count > 0))
         # Guards set-ups that have come and wait for their reader's turn: a close would lose them.
         caller = next((caller for caller in quiet if not caller.conn.unread()), None)
         if caller is None:
             return False
-        log.info("connection closed to make room: peer=%s asked=%s", caller.conn.peer, caller.asked)
+        log.info(
+            "connection closed to make room: peer=%s asked=%s", caller.conn.peer, caller.has_sent_message
+        )
         del self.callers[caller]
         caller.conn.close()
         return True
 
     def _serve(self, caller: Caller) -> None:
-        for message in caller.conn.messages(jsonlines.cut):
-            caller.asked = True
+        for message in caller.conn.messages(jsonlines.parse_next):
+            caller.has_sent_message = True
             if caller in self.callers:
                 self.callers.move_to_end(caller)
             try:
@@ -153,40 +156,41 @@
                 caller.conn.close()
         self.callers.pop(caller, None)
         for ref in list(caller.refs):
-            self.life.abandon(ref)
+            self.call_manager.abandon(ref)
 
     def _heard(self, caller: Caller, message: dict[str, Any]) -> None:
         kind, ref = message["t"], message.get("ref", "")
         if kind == "hb":
             self._trust(caller)
-            caller.conn.write(jsonlines.encode("hb_ok", ref, cause=0 if self.leaving else 1))
+            caller.conn.write(jsonlines.encode("hb_ok", ref, cause=0 if self.shutting_down else 1))
             return
         if not REF.match(ref):
             raise Malformed("no call id")
         if kind == "new":
             request = read_request(caller, message)
-            if request.left_us > self.life.facade.deadline_us(request.class_name) + SLACK_US:
-                request.left_us = -1
-            if ref not in self.life.open:
+            if request.time_left_us > self.call_manager.facade.deadline_us(request.class_name) + SLACK_US:
+                request.time_left_us = -1
+            if ref not in self.call_manager.open_calls:
                 caller.refs.add(ref)
                 self._trust(caller)
-            self.life.take(request)
+            self.call_manager.accept(request)
         elif kind == "down":
             self._down(caller, ref, message.get("c"))
         elif kind != "ack":
             raise Malformed("unknown type")
 
     def _down(self, caller: Caller, ref: str, cause: object) -> None:
-        if self.life.abandon(ref):
+        if self.call_manager.abandon(ref):
             caller.refs.discard(ref)
             return
-        number = cause if type(cause) is int and 0 < cause < 128 else CAUSE_NORMAL  # true is an int too
-        leg = self.life.standing.legs.get(ref)
+        # true is an int too
+        number = cause if type(cause) is int and 0 < cause < 128 else CAUSE_NORMAL_CLEARING
+        leg = self.call_manager.established.legs.get(ref)
         if leg is not None and isinstance(leg.origin, Caller):
-            leg.origin.standing -= 1
-        if self.life.standing.by_caller(ref, number):
+            leg.origin.established_count -= 1
+        if self.call_manager.established.release_from_caller(ref, number):
             caller.conn.write(jsonlines.encode("ack", ref))
-        elif ref not in self.life.standing.ended:
+        elif ref not in self.call_manager.established.recently_ended:
             log.info("release of an unknown call: ref=%s cause=%d", ref, number)
             caller.conn.write(jsonlines.encode("ack", ref))
 
@@ -202,8 +206,8 @@
             key=lambda caller: (-caller.trust, not caller.conn.peer.startswith(host + ":")),
         )
         if not any(c.write(data) for c in conns + [caller.conn for caller in others]):
-            self.waiting[ref] = cause
-            self.deadlines.at(now_us() + RELEASE_KEPT_US, lambda: self.waiting.pop(ref, None))
+            self.pending_releases[ref] = cause
+            self.deadlines.schedule(now_us() + RELEASE_KEPT_US, lambda: self.pending_releases.pop(ref, None))
 
 
 def _int(value: object, default: int) -> int:
@@ -240,15 +244,15 @@
     return Request(
         ref=message["ref"],
         class_name=str(fields.get("class", "")),
-        left_us=int(left_ms * 1000) if 0 < left_ms < 1e9 else -1,
+        time_left_us=int(left_ms * 1000) if 0 < left_ms < 1e9 else -1,
         destination=destination,
-        number=number,
+        called_number=number,
         description=description,
         received_us=now_us(),
         origin=origin,
         width=width,
-        source=source if source >= 0 else None,
+        source_cell=source if source >= 0 else None,
         redialled=str(fields.get("retry", "0")) not in ("0", ""),
         in_transit=extras.get("transit") == "1",
-        cut_before=extras.get("again") == "1",
+        interrupted_before=extras.get("again") == "1",
     )
--- a/barleywheel/fuzz/codecs.py
+++ b/barleywheel/fuzz/codecs.py
@@ -109,13 +109,13 @@
 
 def check_jsonlines(data: bytes) -> list[Breach]:
     """The callers' wire."""
-    breaches = stream(jsonlines.cut, data)
+    breaches = stream(jsonlines.parse_next, data)
     buffer = Metered()
     body = data[:4000]
     line = jsonlines.encode("up", "9b1f03aa00000001", description=body)
     buffer.put(line)
     try:
-        message = jsonlines.cut(buffer) if len(line) <= jsonlines.LIMIT else None
+        message = jsonlines.parse_next(buffer) if len(line) <= jsonlines.LIMIT else None
     except Malformed as error:
         return [*breaches, Breach("not decoded again", str(error))]
     if message is not None and jsonlines.description(message) != body:
@@ -123,7 +123,7 @@
     buffer = Metered()
     buffer.put(data)
     try:
-        while (message := jsonlines.cut(buffer)) is not None:
+        while (message := jsonlines.parse_next(buffer)) is not None:
             breaches += _request(message)
     except Malformed:
         pass
@@ -138,9 +138,9 @@
     if message["t"] != "new" or not REF.match(message.get("ref", "")):
         return []
     request = read_request(None, message)  # type: ignore[arg-type]
-    if request.destination >= 0 and request.left_us > 0:
-        data = sip.invite(request.ref, 1, request.number, "voice", 1, request.description)
-        if not NUMBER.match(request.number) or not 0 < request.width <= 64 or len(data) > sip.LIMIT:
+    if request.destination >= 0 and request.time_left_us > 0:
+        data = sip.invite(request.ref, 1, request.called_number, "voice", 1, request.description)
+        if not NUMBER.match(request.called_number) or not 0 < request.width <= 64 or len(data) > sip.LIMIT:
             return [Breach("request", repr(request)[:300])]
     return []
 
@@ -149,7 +149,7 @@
     """The hubs' wire."""
 
     def cut(buffer: Buffer) -> Any:
-        message = sip.cut(buffer)
+        message = sip.parse_next(buffer)
         if message is not None:
             number, cause = message.cseq[0], message.cause
             if not 0 <= number <= 0xFFFFFFFF or not 0 < cause < 128:
@@ -162,7 +162,7 @@
     breaches = stream(cut, data, looks_ahead=True)
     buffer = Metered()
     buffer.put(sip.invite("9b1f03aa00000001", 1, "7f3a", "voice", 1, data[:8000]))
-    again = sip.head(buffer.peek(buffer.find(b"\r\n\r\n")))
+    again = sip.parse_head(buffer.peek(buffer.find(b"\r\n\r\n")))
     if again.headers["content-length"] != str(len(data[:8000])):
         breaches.append(Breach("not decoded again", repr(again)))
     return breaches
@@ -172,22 +172,22 @@
     """The exchanges' wire, and the ISUP in it."""
 
     def cut(buffer: Buffer) -> Any:
-        message = m3ua.cut(buffer)
+        message = m3ua.parse_next(buffer)
         if message is None:
             return None
-        transfer = m3ua.transferred(message)
+        transfer = m3ua.decode_transfer(message)
         inner: object = None
         if transfer is not None:
             try:
                 inner = isup.decode(transfer.user)
-            except isup.Unreadable:
+            except isup.IsupDecodeError:
                 inner = "unreadable"
             again = Metered()
-            again.put(m3ua.data(transfer, 1)) if len(transfer.user) < 8000 else None
-            back = m3ua.cut(again)
-            if back is not None and m3ua.transferred(back) != transfer:
+            again.put(m3ua.encode_transfer(transfer, 1)) if len(transfer.user) < 8000 else None
+            back = m3ua.parse_next(again)
+            if back is not None and m3ua.decode_transfer(back) != transfer:
                 raise ArithmeticError(f"not decoded again: {transfer}")
-        return message, message.points(), [message.number(tag) for tag in m3ua.Tag], inner
+        return message, message.point_codes(), [message.number(tag) for tag in m3ua.Tag], inner
 
     return stream(cut, data)
 
@@ -204,13 +204,13 @@
         made.description = data[: isup.MOST_DESCRIPTION]
     try:
         again = isup.decode(isup.encode(made))
-    except isup.Unreadable as error:
+    except isup.IsupDecodeError as error:
         return [Breach("not decoded again", f"{made}: {error}")]
     if again != made:
         return [Breach("not decoded again", f"{again} for {made}")]
     try:
         message = isup.decode(data)
-    except isup.Unreadable:
+    except isup.IsupDecodeError:
         return []
     except Exception as error:
         return [Breach("parser raised", f"{type(error).__name__}: {error}")]
@@ -220,7 +220,7 @@
         return []
     try:
         back = isup.decode(encoded)
-    except isup.Unreadable as error:
+    except isup.IsupDecodeError as error:
         return [Breach("not decoded again", f"{message}: {error}")]
     if message.type in tuple(isup.Type) and back != message:
         return [Breach("not decoded again", f"{back} for {message}")]
--- a/barleywheel/fuzz/scripts.py
+++ b/barleywheel/fuzz/scripts.py
@@ -856,7 +856,7 @@
         world, rules, router = self.world, self.rules, self.world.router
         # A call of the exchange's that went out over the exchange has shown its id to nobody.
         unseen = sum(not ref.isalnum() for ref in rules.standing)
-        for ref in list(router.standing.legs):
+        for ref in list(router.established.legs):
             stood = rules.standing.get(ref)
             if stood is None and not unseen:
                 rules.breach("call invented", f"{ref} stands in the router's books alone")
@@ -874,15 +874,15 @@
             world.run(10_000_000)
             rules.overdue()
         tables: dict[str, Any] = {
-            "open calls": router.life.open,
-            "legs": router.standing.legs,
-            "ended ids": router.standing.ended,
+            "open calls": router.call_manager.open_calls,
+            "legs": router.established.legs,
+            "ended ids": router.established.recently_ended,
             "facade's calls": router.facade._calls,
             "module's calls": router.facade._module.calls,
             "callers": router.front.callers,
-            "waiting releases": router.front.waiting,
+            "waiting releases": router.front.pending_releases,
             "set-ups": [
-                key for one in router.hubs.hubs.values() for conn in one.conns for key in conn.setups
+                key for one in router.hubs.hubs.values() for conn in one.connections for key in conn.setups
             ],
             "releases of hubs": [kept for one in router.hubs.hubs.values() for kept in one.releases],
             "module's set-ups out": [
--- a/barleywheel/fuzz/targets.py
+++ b/barleywheel/fuzz/targets.py
@@ -16,7 +16,7 @@
 from barleywheel.fuzz.shrink import Input
 from barleywheel.fuzz.source import Source
 from barleywheel.net.buffer import Buffer
-from barleywheel.net.journal import BROKEN_OFF, Journal
+from barleywheel.net.journal import BROKEN_OFF, JournalClient
 from barleywheel.standins import caller, exchange
 from barleywheel.virtual import world
 from barleywheel.wire import sip
@@ -86,7 +86,7 @@
     reached: dict[str, int] = {}
     for pieces in ([data], codecs.split(data)):
         facade = Facade(conf.settings, conf.names, 1, Deadlines())
-        journal = Journal("10.2.0.1:1", facade, Pool())  # type: ignore[arg-type]
+        journal = JournalClient("10.2.0.1:1", facade, Pool())  # type: ignore[arg-type]
         try:
             kept = journal._poll(Reads(pieces), Buffer())  # type: ignore[arg-type]
             end = f"again: {kept}" if len(pieces) < 2 else "again"
--- a/barleywheel/net/buffer.py
+++ b/barleywheel/net/buffer.py
@@ -15,7 +15,7 @@
     def __init__(self) -> None:
         self.data = bytearray(START_SIZE)
         self.start = self.end = 0
-        self.held: Any = None  # what a codec made of the first bytes; forgotten when any are taken
+        self.parsed_head: Any = None  # what a codec made of the first bytes; forgotten when any are taken
         self._mark, self._searched = b"", 0
 
     def __len__(self) -> int:
@@ -66,5 +66,5 @@
         """The first bytes, which go."""
         taken = self.peek(count)
         self.start += len(taken)
-        self.held, self._searched = None, 0
+        self.parsed_head, self._searched = None, 0
         return taken
--- a/barleywheel/net/connection.py
+++ b/barleywheel/net/connection.py
@@ -8,7 +8,7 @@
 from typing import TypeVar
 
 from barleywheel.core import runtime
-from barleywheel.core.deadlines import Deadlines, Handle
+from barleywheel.core.deadlines import DeadlineHandle, Deadlines
 from barleywheel.core.runtime import now_us
 from barleywheel.net import sockets
 from barleywheel.net.buffer import Buffer
@@ -38,12 +38,12 @@
         self._more = runtime.event()
         self._writing = False
         self._deadlines, self._patience_us = deadlines, patience_us
-        self._late: Handle | None = None
+        self._late: DeadlineHandle | None = None
         if first:
             self._await_rest()
 
     @property
-    def clear(self) -> bool:
+    def can_write_now(self) -> bool:
         """Whether a byte written now leaves now."""
         return self.open and not self._queue
 
@@ -88,14 +88,14 @@
                 return
             del self._queue[:sent]
 
-    def messages(self, cut: Callable[[Buffer], M | None]) -> Iterator[M]:
+    def messages(self, parse_next: Callable[[Buffer], M | None]) -> Iterator[M]:
         """Messages until the connection ends. What is malformed ends it, and it alone."""
         try:
             while self.open:
                 if self.buffer.fill(self.sock) == 0:
                     return
                 count = 0
-                while self.open and (message := cut(self.buffer)) is not None:
+                while self.open and (message := parse_next(self.buffer)) is not None:
                     self._whole()
                     yield message
                     count += 1
@@ -111,11 +111,11 @@
             self.close(self.reset)
 
     def _await_rest(self) -> None:
-        self._late = self._deadlines.at(now_us() + self._patience_us, self._too_late)
+        self._late = self._deadlines.schedule(now_us() + self._patience_us, self._too_late)
 
     def _whole(self) -> None:
         if self._late is not None:
-            self._deadlines.drop(self._late)
+            self._deadlines.cancel(self._late)
             self._late = None
 
     def _too_late(self) -> None:
--- a/barleywheel/net/hubs.py
+++ b/barleywheel/net/hubs.py
@@ -6,9 +6,9 @@
 from collections import OrderedDict
 
 from barleywheel.core import runtime
+from barleywheel.core.call_manager import CallManager
 from barleywheel.core.deadlines import Deadlines
-from barleywheel.core.life import Life
-from barleywheel.core.model import Attempt, Call, End, Leg, Note, Outcome
+from barleywheel.core.model import Attempt, AttemptResult, AttemptStatus, Call, Leg, RefusalReason
 from barleywheel.core.runtime import now_us
 from barleywheel.facade import Facade
 from barleywheel.net import sockets
@@ -27,8 +27,14 @@
 REST_US = 250_000  # hubs write a message at once: the rest of a half one will not come
 DEAD_KEPT = 512  # set-ups that ended without standing, remembered for their late answers, a connection
 RELEASE_KEPT_US = 8_000_000  # how long a release waits for a connection to its hub
-ENDS = {503: End.FULL, 486: End.ERROR, 500: End.ERROR, 480: End.NOT_SENT, 504: End.RESET}
-NOTES = {note.value: note for note in Note}
+STATUS_BY_RESPONSE = {
+    503: AttemptStatus.REFUSED,
+    486: AttemptStatus.ERROR,
+    500: AttemptStatus.ERROR,
+    480: AttemptStatus.NOT_SENT,
+    504: AttemptStatus.RESET,
+}
+REASON_BY_NOTE = {reason.value: reason for reason in RefusalReason}
 
 
 class HubConnection(Connection):
@@ -37,19 +43,20 @@
     def __init__(self, sock: sockets.Socket, peer: str, deadlines: Deadlines) -> None:
         super().__init__(sock, peer, deadlines, REST_US, first=False)
         self.setups: dict[tuple[str, int], Attempt] = {}
-        self.dead: OrderedDict[tuple[str, int], None] = OrderedDict()  # what a late 200 must be undone for
+        # what a late 200 must be undone for
+        self.ended_setups: OrderedDict[tuple[str, int], None] = OrderedDict()
         self.heard_us = now_us()
-        self.watched = False  # a check of it is due while set-ups are out
+        self.check_scheduled = False  # a check of it is due while set-ups are out
         self.suspect = False  # a set-up on it timed out and nothing has been read since
 
-    def bury(self, key: tuple[str, int]) -> None:
+    def remember_ended(self, key: tuple[str, int]) -> None:
         """Remember a set-up that has ended without standing."""
-        self.dead[key] = None
-        if len(self.dead) > DEAD_KEPT:
-            self.dead.popitem(last=False)
+        self.ended_setups[key] = None
+        if len(self.ended_setups) > DEAD_KEPT:
+            self.ended_setups.popitem(last=False)
 
 
-class Slot:
+class HubAttempt:
     """Where an attempt went: its connection and its place in the call's sequence."""
 
     def __init__(self, conn: HubConnection, cseq: int, number: str) -> None:
@@ -61,15 +68,16 @@
 
     def __init__(self, name: bytes, address: str) -> None:
         self.name, self.address = name, address
-        self.conns: list[HubConnection] = []
+        self.connections: list[HubConnection] = []
         self.connecting = 0
         self.gone = False
         self.heard_us = now_us()
-        self.doubted_us = 0  # the heard_us for which a release of its calls is already due
-        self.wake, self.came = runtime.event(), runtime.event()  # for its keeper; a try to connect has ended
+        self.release_scheduled_for_us = 0  # the heard_us for which a release of its calls is already due
+        # for its keeper; a try to connect has ended
+        self.wake, self.connect_finished = runtime.event(), runtime.event()
         self.releases: list[tuple[int, str, int, str, int]] = []  # waiting for a connection: until, BYE
 
-    def usable(self, call: Call | None = None) -> HubConnection | None:
+    def usable_connection(self, call: Call | None = None) -> HubConnection | None:
         """A connection for a new set-up: nothing queued, no half message read, not known to be silent.
 
         A call that goes to the same hub again takes one that has not carried it: hubs answer every INVITE of
@@ -77,8 +85,11 @@
         """
         ready = [
             c
-            for c in self.conns
-            if c.clear and not c.suspect and not len(c.buffer) and (call is None or c not in call.marks)
+            for c in self.connections
+            if c.can_write_now
+            and not c.suspect
+            and not len(c.buffer)
+            and (call is None or c not in call.carrier_data)
         ]
         return min(ready, key=lambda c: len(c.setups)) if ready else None
 
@@ -86,8 +97,10 @@
 class HubPool:
     """Places attempts at hubs; tells the core what hubs say."""
 
-    def __init__(self, life: Life, facade: Facade, deadlines: Deadlines, connect_timeout_us: int) -> None:
-        self.life, self.facade, self.deadlines = life, facade, deadlines
+    def __init__(
+        self, call_manager: CallManager, facade: Facade, deadlines: Deadlines, connect_timeout_us: int
+    ) -> None:
+        self.call_manager, self.facade, self.deadlines = call_manager, facade, deadlines
         self.connect_timeout_s = connect_timeout_us / 1e6
         self.hubs: dict[bytes, Hub] = {}
 
@@ -108,7 +121,7 @@
                 self._drop(name)
 
     def _elsewhere(self, name: bytes) -> bool:
-        return self.facade.cell(name) in self.life.carriers  # another carrier reaches that one
+        return self.facade.cell(name) in self.call_manager.carriers  # another carrier reaches that one
 
     def _drop(self, name: bytes) -> None:
         hub = self.hubs.pop(name, None)
@@ -117,8 +130,8 @@
             hub.wake.set()
             # Its process has ended, and its calls with it. A connection that still speaks may be that of a
             # new hub at the same address, so it proves nothing.
-            self.life.standing.hub_dead(name)
-            for conn in hub.conns:
+            self.call_manager.established.release_all_at_hub(name)
+            for conn in hub.connections:
                 conn.close()
 
     # Connections.
@@ -127,21 +140,25 @@
         """Keep a connection open: group state comes on it, and releases."""
         tries = 0
         while not hub.gone:
-            if hub.usable() is None and len(hub.conns) + hub.connecting < MOST and not self._replaced(hub):
+            if (
+                hub.usable_connection() is None
+                and len(hub.connections) + hub.connecting < MOST
+                and not self._replaced(hub)
+            ):
                 tries = 0 if self._connect(hub) else tries + 1
             elif now_us() - hub.heard_us > DOUBT_US:
                 self._renew(hub)
             hub.wake.clear()
-            hub.wake.wait(RETRY_S[min(tries, len(RETRY_S) - 1)] if hub.usable() is None else 1.0)
+            hub.wake.wait(RETRY_S[min(tries, len(RETRY_S) - 1)] if hub.usable_connection() is None else 1.0)
 
     def _renew(self, hub: Hub) -> None:
         """Put a new connection in the place of a silent one: a machine that vanished lets none come up."""
-        old = [conn for conn in hub.conns if not conn.setups]
-        if len(hub.conns) + hub.connecting >= MOST:
+        old = [conn for conn in hub.connections if not conn.setups]
+        if len(hub.connections) + hub.connecting >= MOST:
             if old:
                 old[0].close()
         elif self._connect(hub) is None:
-            for conn in hub.conns:
+            for conn in hub.connections:
                 conn.suspect = now_us() - hub.heard_us > DOUBT_US
         else:
             for conn in old:
@@ -150,17 +167,17 @@
     def _doubt(self, hub: Hub) -> None:
         """The hub can't be reached, or is gone with connections open: unless heard, its calls are over."""
         heard = hub.heard_us
-        if hub.doubted_us != heard:
-            hub.doubted_us = heard
+        if hub.release_scheduled_for_us != heard:
+            hub.release_scheduled_for_us = heard
 
             def check() -> None:
                 # Guards calls that end while their hub is cut off: nothing says so, and yet their
                 # callers must be told within 8 s. Those that would have gone on are lost with them.
                 if hub.heard_us == heard:
                     log.warning("calls of a silent hub released: hub=%s", hub.name.decode())
-                    self.life.standing.hub_dead(hub.name)
+                    self.call_manager.established.release_all_at_hub(hub.name)
 
-            self.deadlines.at(max(heard + SILENT_US, now_us()), check)
+            self.deadlines.schedule(max(heard + SILENT_US, now_us()), check)
 
     def _replaced(self, hub: Hub) -> bool:
         """A new hub may have the address of one that drains or is gone."""
@@ -177,18 +194,19 @@
             log.info("hub not reached: hub=%s %s", hub.name.decode(), error)
             if not isinstance(error, ConnectionRefusedError):
                 self._doubt(hub)
-            elif not hub.conns:
-                self.life.standing.hub_dead(hub.name)  # its process is dead, and its calls are cut
+            elif not hub.connections:
+                # its process is dead, and its calls are cut
+                self.call_manager.established.release_all_at_hub(hub.name)
             else:
                 # Guards calls through a draining hub: it takes no new connections, and keeps those it has.
                 hub.heard_us = now_us()
             return None
         finally:
             hub.connecting -= 1
-            hub.came.set()
+            hub.connect_finished.set()
         hub.heard_us = now_us()
         conn = HubConnection(sock, hub.name.decode(), self.deadlines)
-        hub.conns.append(conn)
+        hub.connections.append(conn)
         runtime.spawn(self._read, hub, conn)
         for until, ref, cseq, number, cause in hub.releases:
             if until > now_us():
@@ -197,21 +215,22 @@
         return conn
 
     def _read(self, hub: Hub, conn: HubConnection) -> None:
-        for message in conn.messages(sip.cut):
+        for message in conn.messages(sip.parse_next):
             conn.heard_us = hub.heard_us = now_us()
             conn.suspect = False
             try:
                 self._heard(hub, conn, message)
             except Exception:  # no hub's message may end the process, or the connection's other calls
                 log.exception("message of a hub not understood: hub=%s", conn.peer)
-        hub.conns.remove(conn)
+        hub.connections.remove(conn)
         if conn.setups or conn.reset:
             log.info("hub connection lost: hub=%s reset=%s open=%d", conn.peer, conn.reset, len(conn.setups))
         for attempt in list(conn.setups.values()):
-            attempt.end(Outcome(End.RESET))  # what is open on a closed connection is given up
+            # what is open on a closed connection is given up
+            attempt.finish(AttemptResult(AttemptStatus.RESET))
         conn.setups.clear()
-        if hub.gone and not hub.conns:
-            self.life.standing.hub_dead(hub.name)
+        if hub.gone and not hub.connections:
+            self.call_manager.established.release_all_at_hub(hub.name)
         hub.wake.set()
 
     # Attempts.
@@ -220,15 +239,15 @@
         """Send the set-up on an open connection, else on a new one."""
         hub = self.hubs.get(attempt.hub)
         if hub is None:
-            attempt.end(Outcome(End.NOT_SENT))
-        elif (conn := hub.usable(attempt.call)) is not None:
+            attempt.finish(AttemptResult(AttemptStatus.NOT_SENT))
+        elif (conn := hub.usable_connection(attempt.call)) is not None:
             self._send(conn, attempt)
         else:
             runtime.spawn(self._connect_and_send, hub, attempt)
 
     def _connect_and_send(self, hub: Hub, attempt: Attempt) -> None:
-        if len(hub.conns) + hub.connecting >= MOST:
-            silent = [c for c in hub.conns if c.suspect and not c.setups]
+        if len(hub.connections) + hub.connecting >= MOST:
+            silent = [c for c in hub.connections if c.suspect and not c.setups]
             if not silent:
                 self._send_on_other(hub, attempt)
                 return
@@ -236,49 +255,53 @@
         conn = self._connect(hub)
         hub.wake.set()
         if conn is None:
-            attempt.end(Outcome(End.UNREACHABLE))
-        elif not attempt.over:
+            attempt.finish(AttemptResult(AttemptStatus.UNREACHABLE))
+        elif not attempt.has_ended:
             self._send(conn, attempt)
 
     def _send_on_other(self, hub: Hub, attempt: Attempt) -> None:
         """Take what others have opened by then; no further connection is allowed."""
-        while hub.connecting and hub.usable(attempt.call) is None and not attempt.over:
-            hub.came.clear()
-            hub.came.wait(self.connect_timeout_s)
-        if attempt.over:
+        while hub.connecting and hub.usable_connection(attempt.call) is None and not attempt.has_ended:
+            hub.connect_finished.clear()
+            hub.connect_finished.wait(self.connect_timeout_s)
+        if attempt.has_ended:
             return
-        if (conn := hub.usable(attempt.call)) is not None:
+        if (conn := hub.usable_connection(attempt.call)) is not None:
             self._send(conn, attempt)
         else:
-            attempt.end(Outcome(End.NOT_SENT if hub.usable() else End.UNREACHABLE))
+            attempt.finish(
+                AttemptResult(
+                    AttemptStatus.NOT_SENT if hub.usable_connection() else AttemptStatus.UNREACHABLE
+                )
+            )
 
     def _send(self, conn: HubConnection, attempt: Attempt) -> None:
         if not attempt.may_send(attempt.hub):
             # Guards rule 3: the list may have changed while a connection was awaited.
-            attempt.end(Outcome(End.NOT_SENT))
+            attempt.finish(AttemptResult(AttemptStatus.NOT_SENT))
             return
         request = attempt.call.request
         # Counted by connection and call: a hub that gets its first INVITE of a call answers it as CSeq 1,
         # so a number that went on from an attempt at another hub never found its answer.
-        now, cseq = now_us(), attempt.call.marks.get(conn, 0) + 1
-        attempt.call.marks[conn] = cseq
+        now, cseq = now_us(), attempt.call.carrier_data.get(conn, 0) + 1
+        attempt.call.carrier_data[conn] = cseq
         left_us = attempt.started_us + attempt.limit_us - now
         data = sip.invite(
             request.ref,
             cseq,
-            request.number,
+            request.called_number,
             request.class_name,
             max(1, left_us // 1000),
             request.description,
         )
-        attempt.sent_us, attempt.slot = now, Slot(conn, cseq, request.number)
+        attempt.sent_us, attempt.carrier_state = now, HubAttempt(conn, cseq, request.called_number)
         conn.setups[request.ref, cseq] = attempt
         if not conn.write(data):
             # It was reset while it was idle, and not a byte of this left: it never ran.
             conn.setups.pop((request.ref, cseq), None)
             log.info("set-up moved to another connection: hub=%s ref=%s", conn.peer, request.ref)
             self.place(attempt)
-        elif not conn.watched:
+        elif not conn.check_scheduled:
             self._watch(conn, attempt.hub, QUIET_US, False)
 
     def _watch(self, conn: HubConnection, name: bytes, wait_us: int, tested: bool) -> None:
@@ -287,10 +310,10 @@
         A hub that is merely slow passes the test (OPTIONS) at once; where nothing comes, the set-ups on the
         connection are given up, and others no longer go there. Not at a draining hub, which takes no new one.
         """
-        heard, due, conn.watched = conn.heard_us, now_us() + wait_us, True
+        heard, due, conn.check_scheduled = conn.heard_us, now_us() + wait_us, True
 
         def check() -> None:
-            conn.watched = False
+            conn.check_scheduled = False
             if not conn.open or not conn.setups or not self.facade.ready(name):
                 return
             now = now_us()
@@ -304,35 +327,40 @@
                 conn.write(sip.request("OPTIONS", "sip:ping@net", f"{now:016x}", 1))
                 self._watch(conn, name, PING_US, True)
 
-        self.deadlines.at(due, check)
+        self.deadlines.schedule(due, check)
 
     def cancel(self, attempt: Attempt) -> None:
         """Give up a set-up; an answer that still comes finds nobody waiting."""
-        slot, ref = attempt.slot, attempt.call.request.ref
-        if not isinstance(slot, Slot) or slot.conn.setups.pop((ref, slot.cseq), None) is None:
+        hub_attempt, ref = attempt.carrier_state, attempt.call.request.ref
+        if (
+            not isinstance(hub_attempt, HubAttempt)
+            or hub_attempt.conn.setups.pop((ref, hub_attempt.cseq), None) is None
+        ):
             return
-        slot.conn.bury((ref, slot.cseq))
-        slot.conn.write(sip.request("CANCEL", f"sip:{slot.number}@net", ref, slot.cseq))
+        hub_attempt.conn.remember_ended((ref, hub_attempt.cseq))
+        hub_attempt.conn.write(sip.request("CANCEL", f"sip:{hub_attempt.number}@net", ref, hub_attempt.cseq))
         if (
-            slot.conn.heard_us < attempt.sent_us
-            and attempt.outcome is not None
-            and (attempt.outcome.end is End.TIMEOUT)
+            hub_attempt.conn.heard_us < attempt.sent_us
+            and attempt.result is not None
+            and (attempt.result.status is AttemptStatus.TIMEOUT)
         ):
-            slot.conn.suspect = True  # the machine may have vanished; a new connection will tell
+            hub_attempt.conn.suspect = True  # the machine may have vanished; a new connection will tell
             if (hub := self.hubs.get(attempt.hub)) is not None:
                 hub.wake.set()
 
     def release(self, leg: Leg, cause: int) -> None:
         """Take down a call that stands: where its set-up went, else on any connection, else on the next."""
-        slot = leg.slot
-        if not isinstance(slot, Slot):
+        hub_attempt = leg.carrier_state
+        if not isinstance(hub_attempt, HubAttempt):
             return
         hub = self.hubs.get(leg.hub)
-        conns = [slot.conn] + ([c for c in hub.conns if not c.suspect] if hub else [])
-        data = sip.bye(leg.ref, slot.cseq + 1, slot.number, cause)
-        if not any(conn.write(data) for conn in conns) and hub is not None:
+        connections = [hub_attempt.conn] + ([c for c in hub.connections if not c.suspect] if hub else [])
+        data = sip.bye(leg.ref, hub_attempt.cseq + 1, hub_attempt.number, cause)
+        if not any(conn.write(data) for conn in connections) and hub is not None:
             hub.releases = [kept for kept in hub.releases if kept[0] > now_us()]
-            hub.releases.append((now_us() + RELEASE_KEPT_US, leg.ref, slot.cseq + 1, slot.number, cause))
+            hub.releases.append(
+                (now_us() + RELEASE_KEPT_US, leg.ref, hub_attempt.cseq + 1, hub_attempt.number, cause)
+            )
 
     # What hubs say.
 
@@ -346,7 +374,7 @@
             conn.write(sip.response(200, "OK", message))
             if load := message.load:
                 self.facade.group(hub.name, load)
-            self.life.released(hub.name, message.call_id, message.cause)
+            self.call_manager.handle_hub_release(hub.name, message.call_id, message.cause)
         elif message.method != "ACK":
             conn.write(sip.response(200, "OK", message))
 
@@ -354,7 +382,7 @@
         """A final answer. It counts only for the attempt with its connection, Call-ID and CSeq."""
         ref, cseq, load = message.call_id, message.cseq[0], message.load
         attempt = conn.setups.pop((ref, cseq), None)
-        number = attempt.call.request.number if attempt else ""
+        number = attempt.call.request.called_number if attempt else ""
         if attempt is None:
             log.info(
                 "answer to no open attempt: hub=%s ref=%s cseq=%d status=%d",
@@ -363,22 +391,26 @@
                 cseq,
                 message.status,
             )
-            if (ref, cseq) not in conn.dead:
+            if (ref, cseq) not in conn.ended_setups:
                 # A second copy, or an id that is not ours: a BYE would cut the call that the first one made.
                 conn.write(sip.request("ACK", "sip:@net", ref, cseq))
                 return
         conn.write(sip.request("ACK", f"sip:{number}@net", ref, cseq))
         if message.status < 300:
-            outcome = Outcome(End.STANDS, load=load, description=message.body, at_us=now_us())
-            if attempt is None or not attempt.end(outcome):
+            result = AttemptResult(
+                AttemptStatus.ANSWERED, load=load, description=message.body, at_us=now_us()
+            )
+            if attempt is None or not attempt.finish(result):
                 conn.write(sip.bye(ref, cseq + 1, number, 16))  # late: nobody waits for this call
                 if load:
                     self.facade.group(hub.name, load)
             return
-        note = NOTES.get(message.headers.get("x-note", ""), Note.NONE)
-        outcome = Outcome(ENDS.get(message.status, End.ERROR), note, load, at_us=now_us())
-        conn.bury((ref, cseq))
-        if outcome.end is End.ERROR:
+        reason = REASON_BY_NOTE.get(message.headers.get("x-note", ""), RefusalReason.NONE)
+        result = AttemptResult(
+            STATUS_BY_RESPONSE.get(message.status, AttemptStatus.ERROR), reason, load, at_us=now_us()
+        )
+        conn.remember_ended((ref, cseq))
+        if result.status is AttemptStatus.ERROR:
             log.info(
                 "set-up ended in error: hub=%s ref=%s status=%d note=%s",
                 conn.peer,
@@ -386,5 +418,5 @@
                 message.status,
                 message.headers.get("x-note", ""),
             )
-        if (attempt is None or not attempt.end(outcome)) and load:
+        if (attempt is None or not attempt.finish(result)) and load:
             self.facade.group(hub.name, load)
--- a/barleywheel/net/journal.py
+++ b/barleywheel/net/journal.py
@@ -23,7 +23,7 @@
 BROKEN_OFF = (OSError, ValueError, Malformed, httptools.HttpParserError, httptools.HttpParserUpgrade)
 
 
-class Answer:
+class JournalResponse:
     """One HTTP answer, as httptools fills it in."""
 
     def __init__(self) -> None:
@@ -42,7 +42,7 @@
         self.done, self.keep = True, bool(self.parser.should_keep_alive())
 
 
-class Journal:
+class JournalClient:
     """Follows the journal and hands its events to the module and to the pool."""
 
     def __init__(self, address: str, facade: Facade, hubs: HubPool) -> None:
@@ -52,7 +52,7 @@
         self._sock: sockets.Socket | None = None
         self._moved = runtime.event()
 
-    def move(self, address: str) -> None:
+    def set_address(self, address: str) -> None:
         """Go on at another address, from the next number on; the old connection is dropped."""
         if address == self.address:
             return
@@ -116,7 +116,7 @@
 
     def _poll(self, sock: sockets.Socket, buffer: Buffer) -> bool:
         """Read one answer; whether the connection may be used again."""
-        answer = Answer()
+        answer = JournalResponse()
         parser = answer.parser
         until = now_us() + int(STALL_S * 1e6)
         while not answer.done:
@@ -128,6 +128,6 @@
                 raise ValueError("answer too large")
         if parser.get_status_code() != 200:
             raise ValueError(f"status {parser.get_status_code()}")
-        self.apply(*journal.read(answer.body))
+        self.apply(*journal.parse_answer(answer.body))
         self.alive = True
         return answer.keep
--- a/barleywheel/net/sockets.py
+++ b/barleywheel/net/sockets.py
@@ -1,7 +1,7 @@
 """Sockets as the parts above see them: connect, listen, datagrams. gevent's are what serves.
 
-The seam is as narrow as the parts' use of sockets. ``using`` puts another network in the place of the real
-one (``barleywheel.virtual`` has one in memory).
+The seam is as narrow as the parts' use of sockets. ``use_network`` puts another network in the place of
+the real one (``barleywheel.virtual`` has one in memory).
 """
 
 from __future__ import annotations
@@ -49,7 +49,7 @@
         """Listen no more."""
 
 
-class Datagrams(Protocol):
+class DatagramSocket(Protocol):
     """A bound UDP socket."""
 
     def recvfrom(self, most: int) -> tuple[bytes, Address]:
@@ -68,7 +68,7 @@
     def listen(self, address: Address, backlog: int) -> Listener:
         """Listen on TCP."""
 
-    def datagrams(self, address: Address) -> Datagrams:
+    def datagrams(self, address: Address) -> DatagramSocket:
         """Bind a UDP socket."""
 
     def unread(self, sock: Socket) -> int:
@@ -126,11 +126,11 @@
         """See ``Network``."""
         return GeventListener(address, backlog)
 
-    def datagrams(self, address: Address) -> Datagrams:
+    def datagrams(self, address: Address) -> DatagramSocket:
         """See ``Network``."""
         sock = gevent.socket.socket(gevent.socket.AF_INET, gevent.socket.SOCK_DGRAM)
         sock.bind(address)
-        return cast(Datagrams, sock)
+        return cast(DatagramSocket, sock)
 
     def unread(self, sock: Any) -> int:
         """See ``Network``."""
@@ -160,7 +160,7 @@
     return _in_force.listen(parse(address), backlog)
 
 
-def datagrams(address: str) -> Datagrams:
+def datagrams(address: str) -> DatagramSocket:
     """Bind a UDP socket."""
     return _in_force.datagrams(parse(address))
 
@@ -171,7 +171,7 @@
 
 
 @contextmanager
-def using(network: Network) -> Iterator[None]:
+def use_network(network: Network) -> Iterator[None]:
     """Put another network in force for a while."""
     global _in_force
     before, _in_force = _in_force, network
--- a/barleywheel/snmp/agent.py
+++ b/barleywheel/snmp/agent.py
@@ -14,7 +14,7 @@
 from pysnmp.proto.api import v2c
 from pysnmp.proto.error import ProtocolError
 
-from barleywheel.core.model import End
+from barleywheel.core.model import AttemptStatus
 from barleywheel.core.runtime import now_us
 from barleywheel.net import sockets
 
@@ -53,32 +53,32 @@
 
     def view(self) -> dict[Oid, Any]:
         """All objects as they are now."""
-        router, life = self.router, self.router.life
-        counts, gauge, counter = life.counts, v2c.Gauge32, v2c.Counter32
+        router, call_manager = self.router, self.router.call_manager
+        counts, gauge, counter = call_manager.counts, v2c.Gauge32, v2c.Counter32
         found: dict[Oid, Any] = {
             SYSTEM + (1, 0): v2c.OctetString("barleywheel call router"),
             SYSTEM + (3, 0): v2c.TimeTicks((now_us() - self.started_us) // 10_000 & 0xFFFFFFFF),
             CALLS + (1, 0): counter(counts["calls"] & 0xFFFFFFFF),
             CALLS + (2, 0): counter(counts["stood"] & 0xFFFFFFFF),
             CALLS + (3, 0): counter(counts["abandoned"] & 0xFFFFFFFF),
-            CALLS + (4, 0): gauge(len(life.open)),
-            CALLS + (5, 0): gauge(len(router.standing.legs)),
+            CALLS + (4, 0): gauge(len(call_manager.open_calls)),
+            CALLS + (5, 0): gauge(len(router.established.legs)),
             CALLS + (6, 0): counter(counts["attempts"] & 0xFFFFFFFF),
             CALLS + (7, 0): v2c.Integer32(1 if router.journal.alive else 2),
         }
         for name, count in counts.items():
             if name.startswith("rejected."):
                 found[REJECTED + (1, 2, int(name[9:]))] = counter(count & 0xFFFFFFFF)
-        for number, end in enumerate(End, 1):
-            found[OUTCOMES + (1, 2, number)] = v2c.OctetString(end.value)
-            found[OUTCOMES + (1, 3, number)] = counter(counts[f"outcome.{end.value}"] & 0xFFFFFFFF)
+        for number, status in enumerate(AttemptStatus, 1):
+            found[OUTCOMES + (1, 2, number)] = v2c.OctetString(status.value)
+            found[OUTCOMES + (1, 3, number)] = counter(counts[f"outcome.{status.value}"] & 0xFFFFFFFF)
         for key, entry in router.facade.entries.items():
             row = self.hub_numbers.setdefault(key, len(self.hub_numbers) + 1)
             hub = router.hubs.hubs.get(key)
             found[HUBS + (1, 2, row)] = v2c.OctetString(key)
             found[HUBS + (1, 3, row)] = v2c.Integer32(entry.cell)
             found[HUBS + (1, 4, row)] = v2c.Integer32(1 if router.facade.ready(key) else 2)
-            found[HUBS + (1, 5, row)] = gauge(len(hub.conns) if hub else 0)
+            found[HUBS + (1, 5, row)] = gauge(len(hub.connections) if hub else 0)
         for code, peer in (router.m3ua.peers if router.m3ua else {}).items():
             state = peer.link.asp.value if peer.link else "down"
             found[LINKS + (1, 2, code)] = v2c.Integer32(LINK_STATES[state])
--- a/barleywheel/virtual/network.py
+++ b/barleywheel/virtual/network.py
@@ -232,7 +232,7 @@
 
 
 class VirtualDatagrams:
-    """See ``net.sockets.Datagrams``. What the parts send is handed to ``heard``."""
+    """See ``net.sockets.DatagramSocket``. What the parts send is handed to ``heard``."""
 
     def __init__(self, network: VirtualNetwork) -> None:
         self._network = network
@@ -247,7 +247,7 @@
             self._reader.wake()
 
     def recvfrom(self, most: int) -> tuple[bytes, Address]:
-        """See ``Datagrams``."""
+        """See ``DatagramSocket``."""
         while not self._come:
             self._reader = Waiter(self._network.runtime)
             self._reader.wait(None)
@@ -256,7 +256,7 @@
         return data[:most], address
 
     def sendto(self, data: bytes, address: Address) -> int:
-        """See ``Datagrams``."""
+        """See ``DatagramSocket``."""
         if len(data) > 65507:
             raise OSError(errno.EMSGSIZE, "message too long")
         if self.heard is not None:
--- a/barleywheel/virtual/runtime.py
+++ b/barleywheel/virtual/runtime.py
@@ -117,7 +117,7 @@
             self.hub.switch()
 
     def spawn(
-        self, target: Callable[..., Any], *args: Any, broken: Callable[[object], None] | None = None
+        self, target: Callable[..., Any], *args: Any, on_error: Callable[[object], None] | None = None
     ) -> None:
         """See ``Runtime``."""
 
@@ -126,8 +126,8 @@
                 target(*args)
             except Exception as error:
                 self.faults.append(error)
-                if broken is not None:
-                    broken(error)
+                if on_error is not None:
+                    on_error(error)
             finally:
                 self.alive.pop(made, None)
 
--- a/barleywheel/virtual/world.py
+++ b/barleywheel/virtual/world.py
@@ -112,7 +112,7 @@
         seed,
         conf.sockets,
         conf.connect_timeout_us,
-        journal_wire.events(known),
+        journal_wire.parse_events(known),
         conf.settings,
         conf.names,
     )
@@ -168,8 +168,8 @@
         self.operator = extras()
 
     def __enter__(self) -> World:
-        self._stack.enter_context(core_runtime.using(self.runtime))
-        self._stack.enter_context(sockets.using(self.network))
+        self._stack.enter_context(core_runtime.use_runtime(self.runtime))
+        self._stack.enter_context(sockets.use_network(self.network))
         logger = logging.getLogger("barleywheel")
         before = logger.level, logger.propagate
         logger.setLevel(logging.INFO)
--- a/barleywheel/wire/isup.py
+++ b/barleywheel/wire/isup.py
@@ -27,7 +27,7 @@
     RSC = 0x12
 
 
-class Unreadable(Exception):
+class IsupDecodeError(Exception):
     """The message contradicts itself."""
 
 
@@ -89,14 +89,14 @@
             message.cause = _variable(data, HEAD.size)[1] & 0x7F
         return message
     except (IndexError, struct.error) as error:
-        raise Unreadable(f"cut short: {error}") from error
+        raise IsupDecodeError(f"cut short: {error}") from error
 
 
 def _variable(data: bytes, pointer_at: int) -> bytes:
     at = pointer_at + data[pointer_at]
     value = data[at + 1 : at + 1 + data[at]]
     if len(value) < 2 or len(value) != data[at] or data[pointer_at] == 0:
-        raise Unreadable("mandatory parameter missing or cut short")
+        raise IsupDecodeError("mandatory parameter missing or cut short")
     return value
 
 
@@ -108,7 +108,7 @@
     while data[at] != 0:
         value = data[at + 2 : at + 2 + data[at + 1]]
         if len(value) != data[at + 1]:
-            raise Unreadable("optional parameter cut short")
+            raise IsupDecodeError("optional parameter cut short")
         values[data[at]] = value
         at += 2 + len(value)
     return values
--- a/barleywheel/wire/journal.py
+++ b/barleywheel/wire/journal.py
@@ -37,16 +37,16 @@
     endpoints: list[Endpoint]
 
 
-def read(body: bytes) -> tuple[int, list[Event]]:
+def parse_answer(body: bytes) -> tuple[int, list[Event]]:
     """The last number and the events of an answer; Malformed where any part of it can't be used."""
     try:
         raw = json.loads(body)
     except (ValueError, RecursionError) as error:
         raise Malformed(f"no JSON: {type(error).__name__}") from error
-    return events(raw)
+    return parse_events(raw)
 
 
-def events(raw: object) -> tuple[int, list[Event]]:
+def parse_events(raw: object) -> tuple[int, list[Event]]:
     """The same of parsed JSON, as ``known`` in the configuration has it."""
     if not isinstance(raw, dict):
         raise Malformed("an answer that is no object")
--- a/barleywheel/wire/jsonlines.py
+++ b/barleywheel/wire/jsonlines.py
@@ -11,7 +11,7 @@
 LIMIT = 16 * 1024
 
 
-def cut(buffer: Buffer) -> dict[str, Any] | None:
+def parse_next(buffer: Buffer) -> dict[str, Any] | None:
     """Take the next message off the buffer; None until it is whole."""
     end = buffer.find(b"\n")
     if end > LIMIT or end < 0 and len(buffer) > LIMIT:
@@ -20,7 +20,7 @@
         return None
     line = buffer.take(end + 1)
     if not line.strip():
-        return cut(buffer)
+        return parse_next(buffer)
     try:
         # surrogateescape: whatever bytes a description has go through unchanged
         message = json.loads(line.decode("utf-8", "surrogateescape"))
--- a/barleywheel/wire/m3ua.py
+++ b/barleywheel/wire/m3ua.py
@@ -87,7 +87,7 @@
         value = self.parameters.get(tag)
         return int.from_bytes(value[:4], "big") if value is not None and len(value) >= 4 else None
 
-    def points(self) -> list[int]:
+    def point_codes(self) -> list[int]:
         """The affected point codes; the mask before each is for clusters, which are not served."""
         value = self.parameters.get(Tag.AFFECTED, b"")
         return [int.from_bytes(value[at + 1 : at + 4], "big") for at in range(0, len(value) - 3, 4)]
@@ -105,7 +105,7 @@
     sls: int = 0
 
 
-def cut(buffer: Buffer) -> Message | None:
+def parse_next(buffer: Buffer) -> Message | None:
     """Take the next message off the buffer; None until it is whole."""
     if len(buffer) < HEADER.size:
         return None
@@ -134,7 +134,7 @@
     return HEADER.pack(VERSION, 0, kind >> 8, kind & 0xFF, HEADER.size + len(body)) + body
 
 
-def data(transfer: Transfer, context: int) -> bytes:
+def encode_transfer(transfer: Transfer, context: int) -> bytes:
     """DATA."""
     head = ROUTING.pack(transfer.opc, transfer.dpc, transfer.si, transfer.ni, 0, transfer.sls)
     return encode(
@@ -142,7 +142,7 @@
     )
 
 
-def transferred(message: Message) -> Transfer | None:
+def decode_transfer(message: Message) -> Transfer | None:
     """The protocol data; None where it is missing or cut short."""
     value = message.parameters.get(Tag.PROTOCOL_DATA, b"")
     if len(value) < ROUTING.size:
--- a/barleywheel/wire/sip.py
+++ b/barleywheel/wire/sip.py
@@ -65,25 +65,25 @@
         return values
 
 
-def cut(buffer: Buffer) -> Message | None:
+def parse_next(buffer: Buffer) -> Message | None:
     """Take the next message off the buffer; None until it is whole."""
     while buffer.peek(2) == b"\r\n":  # keep-alive between messages
         buffer.take(2)
-    if buffer.held is None:  # the head is read once, however slowly the body comes
+    if buffer.parsed_head is None:  # the head is read once, however slowly the body comes
         end = buffer.find(b"\r\n\r\n")
         if end > LIMIT or end < 0 and len(buffer) > LIMIT:
             raise Malformed("message over 16 KiB")
         if end < 0:
             return None
-        message = head(buffer.peek(end))
+        message = parse_head(buffer.peek(end))
         length = message.headers.get("content-length", "")
         if not (length.isascii() and length.isdigit() and len(length) < 10):
             raise Malformed("bad Content-Length")
         size = end + 4 + int(length)
         if size > LIMIT:
             raise Malformed("message over 16 KiB")
-        buffer.held = end, size, message
-    end, size, message = buffer.held
+        buffer.parsed_head = end, size, message
+    end, size, message = buffer.parsed_head
     if len(buffer) < size:
         return None
     message.body = buffer.take(size)[end + 4 :]
@@ -97,7 +97,7 @@
     return message
 
 
-def head(data: bytes) -> Message:
+def parse_head(data: bytes) -> Message:
     """Read the first line and the headers."""
     text = re.sub(r"\r\n[ \t]+", " ", data.decode("utf-8", "replace"))
     lines = text.split("\r\n")
--- a/tests/test_fuzz.py
+++ b/tests/test_fuzz.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from barleywheel.core.life import Life
+from barleywheel.core.call_manager import CallManager
 from barleywheel.core.model import Rejection
 from barleywheel.fronts.platform import Caller
 from barleywheel.fuzz import corpus
@@ -96,7 +96,9 @@
 
 def test_a_dropped_answer_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
     """Nothing is told to the caller of a call that does not stand."""
-    monkeypatch.setattr(Life, "_reject", lambda self, call, rejection: self.open.pop(call.request.ref))
+    monkeypatch.setattr(
+        CallManager, "_reject", lambda self, call, rejection: self.open_calls.pop(call.request.ref)
+    )
     target = TARGETS["router"]
     breaches, _ = target.check([["new", 0, 0, 1, False, 1, "", 0], ["wait", 1000], ["wait", 1000]])
     assert breaches[0].rule == "no answer"
--- a/tests/test_m3ua.py
+++ b/tests/test_m3ua.py
@@ -357,11 +357,11 @@
 def test_messages_survive_the_wire(size: int) -> None:
     iam = isup.Message(5, isup.Type.IAM, "7f3a1", 11, description=bytes(size))
     buffer = Buffer()
-    raw = m3ua.data(m3ua.Transfer(1, 2, isup.encode(iam)), 7)
+    raw = m3ua.encode_transfer(m3ua.Transfer(1, 2, isup.encode(iam)), 7)
     buffer.data[: len(raw)], buffer.end = raw, len(raw)
-    message = m3ua.cut(buffer)
+    message = m3ua.parse_next(buffer)
     assert message is not None
-    transfer = m3ua.transferred(message)
+    transfer = m3ua.decode_transfer(message)
     assert transfer is not None and isup.decode(transfer.user) == iam and len(buffer) == 0
 
 
