--- a/barleywheel/core/call_manager.py
+++ b/barleywheel/core/call_manager.py
@@ -26,7 +26,7 @@
 from barleywheel.facade import Facade
 
 log = logging.getLogger(__name__)
-GUARDED = (AttemptStatus.TIMEOUT, AttemptStatus.RESET, AttemptStatus.CALLER_GONE)
+GUARD_TIME_STATUSES = (AttemptStatus.TIMEOUT, AttemptStatus.RESET, AttemptStatus.CALLER_GONE)
 
 
 class CallManager:
@@ -38,25 +38,25 @@
         self.counts: Counter[str] = Counter()  # for the agent: calls, attempts, outcomes by name
         self.default_carrier: Carrier | None = None
         self.carriers: dict[int, Carrier] = {}  # cell -> its carrier, where it is not the default one
-        self._number = 0
+        self._last_number = 0
 
     # Take.
 
     def accept(self, request: Request) -> None:
         """Take a request; it gets one final answer unless its caller gives it up."""
         self.counts["calls"] += 1
-        fault = self._fault(request)
+        fault = self._validation_error(request)
         if fault:
             # Guards the module and the hubs against calls that nobody could serve.
             log.warning("call failed at once: ref=%s %s", request.ref, fault)
             self.counts[f"rejected.{CAUSE_INVALID_MESSAGE}"] += 1
             request.origin.reject(request, Rejection(CAUSE_INVALID_MESSAGE))
             return
-        self._number = self._number % 0xFFFFFFFF + 1
-        call = self.open_calls[request.ref] = Call(request, self._number)
+        self._last_number = self._last_number % 0xFFFFFFFF + 1
+        call = self.open_calls[request.ref] = Call(request, self._last_number)
         runtime.spawn(self._serve, call)
 
-    def _fault(self, request: Request) -> str:
+    def _validation_error(self, request: Request) -> str:
         if request.ref in self.open_calls or request.ref in self.established.legs:
             return "its id is in use"
         if not self.facade.knows_class(request.class_name):
@@ -86,7 +86,7 @@
     def _serve(self, call: Call) -> None:
         request = call.request
         try:
-            self._run(call)
+            self._route(call)
         except Exception:  # a fault in one call must not take the others down; its caller is answered
             log.exception("call broke off: ref=%s", request.ref)
             if self.open_calls.pop(request.ref, None) is call and not call.abandoned:
@@ -95,7 +95,7 @@
             if self.open_calls.get(request.ref) is call:
                 del self.open_calls[request.ref]
 
-    def _run(self, call: Call) -> None:
+    def _route(self, call: Call) -> None:
         decision = self.facade.pick(call)
         while isinstance(decision, PlaceAttempt):
             if now_us() < call.guard_until_us:
@@ -104,11 +104,11 @@
             attempt = call.attempt = Attempt(call, decision.hub, decision.limit_us, self.facade.ready)
             call.attempts += 1
             carrier = self._carrier(decision.hub)
-            result = self._attempt(attempt, carrier)
+            result = self._place_attempt(attempt, carrier)
             self.counts["attempts"] += 1
             self.counts["outcome." + result.status.value] += 1
             if result.status is AttemptStatus.ANSWERED:
-                self._stands(call, attempt, carrier, result)
+                self._handle_answer(call, attempt, carrier, result)
                 return
             if call.abandoned:
                 break
@@ -116,23 +116,23 @@
                 decision = call.final_decision
                 break
             decision = self.facade.report(attempt, result)
-            if result.status in GUARDED:
+            if result.status in GUARD_TIME_STATUSES:
                 call.guard_until_us = now_us() + self.facade.guard_us
         if call.abandoned:
-            self._forget(call)
+            self._remember_ended(call)
             self.facade.gone(call)
             self.counts["abandoned"] += 1
         else:
             assert isinstance(decision, Rejection)
             self._reject(call, decision)
 
-    def _forget(self, call: Call) -> None:
+    def _remember_ended(self, call: Call) -> None:
         """A call that did not stand here may do so at its hub: its release there is no news for callers."""
         if call.attempts:
             self.established.remember_ended(call.request.ref)
 
     def _reject(self, call: Call, rejection: Rejection) -> None:
-        self._forget(call)
+        self._remember_ended(call)
         del self.open_calls[call.request.ref]
         self.counts[f"rejected.{rejection.cause}"] += 1
         call.request.origin.reject(call.request, rejection)
@@ -142,7 +142,7 @@
         assert carrier is not None
         return carrier
 
-    def _attempt(self, attempt: Attempt, carrier: Carrier) -> AttemptResult:
+    def _place_attempt(self, attempt: Attempt, carrier: Carrier) -> AttemptResult:
         call = attempt.call
         if call.abandoned or call.final_decision is not None:
             attempt.finish(AttemptResult(AttemptStatus.CALLER_GONE))
@@ -170,7 +170,7 @@
             )
         return result
 
-    def _stands(self, call: Call, attempt: Attempt, carrier: Carrier, result: AttemptResult) -> None:
+    def _handle_answer(self, call: Call, attempt: Attempt, carrier: Carrier, result: AttemptResult) -> None:
         request = call.request
         leg = Leg(request.ref, attempt.hub, carrier, request.origin, attempt.carrier_state)
         if call.final_decision is not None:  # the module gave up in the same turn: the caller is told so
--- a/barleywheel/core/release.py
+++ b/barleywheel/core/release.py
@@ -9,7 +9,7 @@
 from barleywheel.core.runtime import now_us
 
 log = logging.getLogger(__name__)
-ENDED_KEPT_US = 30_000_000  # how long an ended call's id is remembered, so that a repeat is known as one
+ENDED_TTL_US = 30_000_000  # how long an ended call's id is remembered, so that a repeat is known as one
 
 
 class EstablishedCalls:
@@ -30,7 +30,7 @@
         """Remember an ended call's id for a while."""
         if ref not in self.recently_ended:
             self.recently_ended.add(ref)
-            self._deadlines.schedule(now_us() + ENDED_KEPT_US, lambda: self.recently_ended.discard(ref))
+            self._deadlines.schedule(now_us() + ENDED_TTL_US, lambda: self.recently_ended.discard(ref))
 
     def release_from_hub(self, ref: str, cause: int) -> None:
         """The hub's side released a call."""
--- a/barleywheel/fronts/m3ua.py
+++ b/barleywheel/fronts/m3ua.py
@@ -34,8 +34,8 @@
 from barleywheel.wire.m3ua import Error, Kind, Tag
 
 log = logging.getLogger(__name__)
-RELEASES = 3  # RELs sent for one release before the circuit is taken out of service
-CONGESTED_US = 3_000_000  # how long an SCON counts unless it is told anew
+MAX_RELS = 3  # RELs sent for one release before the circuit is taken out of service
+CONGESTION_VALIDITY_US = 3_000_000  # how long an SCON counts unless it is told anew
 
 
 class CircuitState(Enum):
@@ -76,7 +76,7 @@
 
     asp = AspState.DOWN
     exchange: Peer | None = None
-    heard_us = 0
+    last_received_us = 0
 
 
 @dataclass(eq=False)
@@ -120,16 +120,16 @@
         """Whether we control a circuit at dual seizure: the higher point code has the even ones (Q.764)."""
         return (self.front.conf.point_code > self.conf.point_code) == (cic % 2 == 0)
 
-    def seize(self) -> Circuit | None:
+    def seize_circuit(self) -> Circuit | None:
         """An idle circuit, one that we control if there is any; None when all are taken."""
         idle = [circuit for circuit in self.circuits.values() if circuit.state is CircuitState.IDLE]
         return min(idle, key=lambda circuit: not self.controls_circuit(circuit.cic)) if idle else None
 
-    def free(self, circuit: Circuit) -> None:
+    def free_circuit(self, circuit: Circuit) -> None:
         """The circuit is idle again."""
         if circuit.timer is not None:
             self.front.deadlines.cancel(circuit.timer)
-        self._forget(circuit)
+        self._remove_reference(circuit)
         # whoever still holds the old one must not release a later call by it
         circuit.state = CircuitState.IDLE
         self.circuits[circuit.cic] = Circuit(circuit.cic)
@@ -146,10 +146,10 @@
     def start_release(self, circuit: Circuit, cause: int) -> None:
         """Send REL, or let it wait for the link; the circuit is taken until RLC."""
         circuit.state, circuit.attempt, circuit.cause, circuit.sent = CircuitState.RELEASING, None, cause, 0
-        self._forget(circuit)
+        self._remove_reference(circuit)
         self.send_rel(circuit)
 
-    def _forget(self, circuit: Circuit) -> None:
+    def _remove_reference(self, circuit: Circuit) -> None:
         if self.by_ref.get(circuit.ref) is circuit:
             del self.by_ref[circuit.ref]
 
@@ -158,7 +158,7 @@
         circuit.timer = None
         if circuit.state is not CircuitState.RELEASING:
             return
-        if circuit.sent >= RELEASES:
+        if circuit.sent >= MAX_RELS:
             log.warning("circuit blocked, no RLC: peer=%d cic=%d", self.conf.point_code, circuit.cic)
             circuit.state = CircuitState.BLOCKED
         elif self.send(isup.Message(circuit.cic, isup.Type.REL, cause=circuit.cause)):
@@ -201,7 +201,7 @@
             attempt.finish(AttemptResult(AttemptStatus.UNREACHABLE))
         elif now_us() < self.congested_us:
             attempt.finish(AttemptResult(AttemptStatus.REFUSED, RefusalReason.PROCESSOR_OVERLOADED))
-        elif (circuit := self.seize()) is None:
+        elif (circuit := self.seize_circuit()) is None:
             attempt.finish(AttemptResult(AttemptStatus.NOT_SENT, RefusalReason.NO_CIRCUIT))
         else:
             request = attempt.call.request
@@ -225,7 +225,7 @@
                 self.report_circuits()
             elif not attempt.has_ended:
                 attempt.finish(AttemptResult(AttemptStatus.UNREACHABLE))
-                self.free(circuit)
+                self.free_circuit(circuit)
 
     def cancel(self, attempt: Attempt) -> None:
         """Give up a set-up: its circuit is released."""
@@ -264,7 +264,7 @@
             self.start_release(circuit, rejection.cause)
 
 
-class Incoming:
+class IncomingOrigin:
     """The origin of one peer's calls; a release goes to the circuit that the call is on."""
 
     def __init__(self, peer: Peer) -> None:
@@ -286,7 +286,7 @@
     ) -> None:
         self.conf, self.call_manager, self.facade, self.deadlines = conf, call_manager, facade, deadlines
         self.peers = {peer.point_code: Peer(self, peer) for peer in conf.peers}
-        self.origins = {code: Incoming(peer) for code, peer in self.peers.items()}
+        self.origins = {code: IncomingOrigin(peer) for code, peer in self.peers.items()}
         self.links: set[Link] = set()
         self._listener: sockets.Listener | None = None
         self._categories = {item.category: name for name, item in conf.classes.items()}
@@ -324,37 +324,37 @@
 
     def _serve(self, link: Link) -> None:
         self.links.add(link)
-        link.heard_us = now_us()
-        self.deadlines.schedule(now_us() + self.conf.up_ms * 1000, partial(self._still_down, link))
-        self._beat(link)
+        link.last_received_us = now_us()
+        self.deadlines.schedule(now_us() + self.conf.up_ms * 1000, partial(self._close_if_down, link))
+        self._send_beat(link)
         for message in link.messages(m3ua.parse_next):
-            link.heard_us = now_us()
+            link.last_received_us = now_us()
             try:
-                self._heard(link, message)
+                self._handle_message(link, message)
             except Exception:  # one peer's message may not end the process
                 log.exception("message of a peer not understood: peer=%s", link.peer)
         self.links.discard(link)
-        self._down(link, AspState.DOWN)
+        self._leave_state(link, AspState.DOWN)
 
-    def _still_down(self, link: Link) -> None:
+    def _close_if_down(self, link: Link) -> None:
         if link.open and link.asp is AspState.DOWN:
             log.warning("link closed, no ASPUP in time: peer=%s", link.peer)
             link.close()
 
-    def _beat(self, link: Link) -> None:
+    def _send_beat(self, link: Link) -> None:
         """Send BEAT; a link that says nothing for two periods is closed."""
         if not link.open:
             return
         period = self.conf.beat_ms * 1000
-        if now_us() - link.heard_us >= 2 * period:
+        if now_us() - link.last_received_us >= 2 * period:
             log.warning("link closed, no answer to BEAT: peer=%s", link.peer)
             link.close()
             return
         if link.asp is not AspState.DOWN:
             link.write(m3ua.encode(Kind.BEAT, {Tag.HEARTBEAT: now_us().to_bytes(8, "big")}))
-        self.deadlines.schedule(now_us() + period, partial(self._beat, link))
+        self.deadlines.schedule(now_us() + period, partial(self._send_beat, link))
 
-    def _down(self, link: Link, state: AspState) -> None:
+    def _leave_state(self, link: Link, state: AspState) -> None:
         """The ASP leaves the active state, or the link is gone."""
         peer, was = link.exchange, link.asp
         link.asp = state
@@ -366,23 +366,23 @@
             log.info("link down: peer=%d", peer.conf.point_code)
             peer.handle_link_down()
 
-    def _error(self, link: Link, error: Error) -> None:
+    def _send_error(self, link: Link, error: Error) -> None:
         log.warning("error sent: peer=%s code=%s", link.peer, error.name)
         link.write(m3ua.encode(Kind.ERR, {Tag.ERROR_CODE: error.to_bytes(4, "big")}))
 
-    def _heard(self, link: Link, message: m3ua.Message) -> None:
+    def _handle_message(self, link: Link, message: m3ua.Message) -> None:
         if message.version != m3ua.VERSION:
-            self._error(link, Error.INVALID_VERSION)
+            self._send_error(link, Error.INVALID_VERSION)
             return
         context = message.number(Tag.ROUTING_CONTEXT)
         if context is not None and context != self.conf.routing_context:
-            self._error(link, Error.INVALID_ROUTING_CONTEXT)
+            self._send_error(link, Error.INVALID_ROUTING_CONTEXT)
             return
         match message.code:
             case Kind.ASPUP:
-                self._up(link, message)
+                self._handle_aspup(link, message)
             case Kind.ASPDN:
-                self._down(link, AspState.DOWN)
+                self._leave_state(link, AspState.DOWN)
                 link.write(m3ua.encode(Kind.ASPDN_ACK))
             case Kind.BEAT:
                 data = message.parameters.get(Tag.HEARTBEAT)
@@ -392,17 +392,17 @@
             case Kind.ERR:
                 log.warning("error heard: peer=%s code=%s", link.peer, message.number(Tag.ERROR_CODE))
             case Kind.ASPAC | Kind.ASPIA if link.exchange is None or link.asp is AspState.DOWN:
-                self._error(link, Error.UNEXPECTED_MESSAGE)
+                self._send_error(link, Error.UNEXPECTED_MESSAGE)
             case Kind.ASPAC:
                 self._activate(link)
             case Kind.ASPIA:
-                self._down(link, AspState.INACTIVE)
+                self._leave_state(link, AspState.INACTIVE)
                 link.write(m3ua.encode(Kind.ASPIA_ACK, self._context()))
                 link.write(m3ua.encode(Kind.NTFY, self._context() | {Tag.STATUS: m3ua.AS_PENDING}))
             case Kind.DATA:
-                self._data(link, message)
+                self._handle_data(link, message)
             case Kind.DUNA | Kind.DAVA | Kind.SCON:
-                self._network(link, message)
+                self._handle_network_status(link, message)
             case Kind.DAUD:
                 link.write(
                     m3ua.encode(
@@ -410,24 +410,24 @@
                     )
                 )
             case code if code >> 8 in (0, 1, 2, 3, 4):
-                self._error(link, Error.UNSUPPORTED_TYPE)
+                self._send_error(link, Error.UNSUPPORTED_TYPE)
             case _:
-                self._error(link, Error.UNSUPPORTED_CLASS)
+                self._send_error(link, Error.UNSUPPORTED_CLASS)
 
     def _context(self) -> dict[Tag, bytes]:
         return {Tag.ROUTING_CONTEXT: self.conf.routing_context.to_bytes(4, "big")}
 
-    def _up(self, link: Link, message: m3ua.Message) -> None:
+    def _handle_aspup(self, link: Link, message: m3ua.Message) -> None:
         number = message.number(Tag.ASP_ID)
         found = [peer for peer in self.peers.values() if peer.conf.asp == number] or (
             list(self.peers.values()) if number is None and len(self.peers) == 1 else []
         )
         if not found:
-            self._error(link, Error.NO_AS_FOR_ASP)
+            self._send_error(link, Error.NO_AS_FOR_ASP)
             return
         # ASPUP on an active link takes it back to inactive (RFC 4666, 4.3.4.1)
         if link.asp is AspState.ACTIVE:
-            self._down(link, AspState.INACTIVE)
+            self._leave_state(link, AspState.INACTIVE)
         link.exchange, link.asp = found[0], AspState.INACTIVE
         link.write(m3ua.encode(Kind.ASPUP_ACK))
         link.write(m3ua.encode(Kind.NTFY, self._context() | {Tag.STATUS: m3ua.AS_INACTIVE}))
@@ -437,7 +437,7 @@
         assert peer is not None
         old = peer.link
         if old is not None and old is not link:  # the peer came back before its old link was seen to end
-            self._down(old, AspState.DOWN)
+            self._leave_state(old, AspState.DOWN)
             old.close()
         again = link.asp is AspState.ACTIVE
         peer.link, link.asp, peer.unavailable = link, AspState.ACTIVE, False
@@ -447,10 +447,10 @@
             log.info("link active: peer=%d", peer.conf.point_code)
             peer.handle_link_active()
 
-    def _network(self, link: Link, message: m3ua.Message) -> None:
+    def _handle_network_status(self, link: Link, message: m3ua.Message) -> None:
         points = message.point_codes()
         if not points:
-            self._error(link, Error.MISSING_PARAMETER)
+            self._send_error(link, Error.MISSING_PARAMETER)
         for point in points:
             peer = self.peers.get(point)
             if peer is None or link.asp is not AspState.ACTIVE:
@@ -458,19 +458,19 @@
             log.info("network news: peer=%d %s", point, Kind(message.code).name)
             if message.code == Kind.SCON:
                 quiet = message.number(Tag.CONGESTION) == 0
-                peer.congested_us = 0 if quiet else now_us() + CONGESTED_US
+                peer.congested_us = 0 if quiet else now_us() + CONGESTION_VALIDITY_US
             else:
                 peer.unavailable = message.code == Kind.DUNA
 
     # Calls.
 
-    def _data(self, link: Link, message: m3ua.Message) -> None:
+    def _handle_data(self, link: Link, message: m3ua.Message) -> None:
         transfer = m3ua.decode_transfer(message)
         if link.asp is not AspState.ACTIVE:
-            self._error(link, Error.UNEXPECTED_MESSAGE)
+            self._send_error(link, Error.UNEXPECTED_MESSAGE)
             return
         if transfer is None:
-            self._error(link, Error.MISSING_PARAMETER)
+            self._send_error(link, Error.MISSING_PARAMETER)
             return
         peer = self.peers.get(transfer.opc)
         if (
@@ -498,23 +498,23 @@
             return
         match heard.type:
             case isup.Type.IAM:
-                self._iam(peer, circuit, heard)
+                self._handle_iam(peer, circuit, heard)
             case isup.Type.ANM:
-                self._anm(peer, circuit, heard)
+                self._handle_anm(peer, circuit, heard)
             case isup.Type.REL | isup.Type.RSC:
-                self._rel(peer, circuit, heard)
+                self._handle_rel(peer, circuit, heard)
             case isup.Type.RLC:
                 # One that came too late proves as well that the peer holds the circuit idle.
                 if circuit.state in (CircuitState.RELEASING, CircuitState.BLOCKED) and not circuit.queued:
-                    peer.free(circuit)
+                    peer.free_circuit(circuit)
             case isup.Type.ACM:
                 pass  # progress
             case _:
                 log.info("ISUP message not used: peer=%d type=%d", transfer.opc, heard.type)
 
-    def _iam(self, peer: Peer, circuit: Circuit, heard: isup.Message) -> None:
+    def _handle_iam(self, peer: Peer, circuit: Circuit, heard: isup.Message) -> None:
         if circuit.state is CircuitState.OUTGOING and not peer.controls_circuit(circuit.cic):
-            self._back_off(peer, circuit)
+            self._yield_circuit(peer, circuit)
             circuit = peer.circuits[circuit.cic]
         if circuit.state is not CircuitState.IDLE:
             # Dual seizure of a circuit that we control, or a repeat: the other side backs off.
@@ -542,23 +542,23 @@
 
     def _destination(self, number: str) -> int:
         """The cell of the longest prefix that fits; -1 for none."""
-        if not 0 < len(number) <= isup.MOST_DIGITS:  # what hubs take: they close on anything else
+        if not 0 < len(number) <= isup.MAX_DIGITS:  # what hubs take: they close on anything else
             return -1
         fits = [prefix for prefix in self.conf.numbers if number.startswith(prefix)]
         return self.conf.numbers[max(fits, key=len)] if fits else -1
 
-    def _back_off(self, peer: Peer, circuit: Circuit) -> None:
+    def _yield_circuit(self, peer: Peer, circuit: Circuit) -> None:
         """Dual seizure lost: our set-up goes on over another circuit, if there is one."""
         attempt = circuit.attempt
         log.info("dual seizure lost: peer=%d cic=%d", peer.conf.point_code, circuit.cic)
-        peer.free(circuit)
+        peer.free_circuit(circuit)
         if attempt is not None and not attempt.has_ended:
             # not for the new try: the peer's call has it
             peer.circuits[circuit.cic].state = CircuitState.BLOCKED
             peer.place(attempt)
             peer.circuits[circuit.cic].state = CircuitState.IDLE
 
-    def _anm(self, peer: Peer, circuit: Circuit, heard: isup.Message) -> None:
+    def _handle_anm(self, peer: Peer, circuit: Circuit, heard: isup.Message) -> None:
         attempt = circuit.attempt
         if circuit.state is CircuitState.OUTGOING and attempt is not None:
             circuit.attempt = None
@@ -569,10 +569,10 @@
                 # the answer came in the turn in which the attempt was given up
                 peer.start_release(circuit, 16)
 
-    def _rel(self, peer: Peer, circuit: Circuit, heard: isup.Message) -> None:
+    def _handle_rel(self, peer: Peer, circuit: Circuit, heard: isup.Message) -> None:
         """The peer releases, or resets, a circuit: RLC, and whatever was on it is over."""
         state, ref, attempt = circuit.state, circuit.ref, circuit.attempt
-        peer.free(circuit)
+        peer.free_circuit(circuit)
         peer.send(isup.Message(circuit.cic, isup.Type.RLC))
         cause = heard.cause if heard.type == isup.Type.REL else CAUSE_TEMPORARY_FAILURE
         if state is CircuitState.OUTGOING and attempt is not None:
--- a/barleywheel/fronts/platform.py
+++ b/barleywheel/fronts/platform.py
@@ -18,13 +18,14 @@
 from barleywheel.wire import Malformed, jsonlines, sip
 
 log = logging.getLogger(__name__)
-REF = re.compile(r"[0-9a-fA-F]{16}\Z")
+CALL_ID = re.compile(r"[0-9a-fA-F]{16}\Z")
 NUMBER = re.compile(r"[0-9a-fA-F]{1,16}\Z")
-RELEASE_KEPT_US = 8_000_000  # how long a release waits for a caller's connection
-FIRST_US = 2_300_000  # a connection without a whole message for so long is closed: a close is owed within 3 s
-SLACK_US = 1_000_000  # no caller waits longer than its class's deadline, give or take this
-HEAD_ROOM = 512  # an INVITE is a description and at most so much round it
-WIDEST = 64.0  # circuits
+RELEASE_RETENTION_US = 8_000_000  # how long a release waits for a caller's connection
+# a connection without a whole message for so long is closed: a close is owed within 3 s
+FIRST_MESSAGE_TIMEOUT_US = 2_300_000
+DEADLINE_TOLERANCE_US = 1_000_000  # no caller waits longer than its class's deadline, give or take this
+INVITE_OVERHEAD = 512  # an INVITE is a description and at most so much round it
+MAX_WIDTH = 64.0  # circuits
 
 
 class Caller:
@@ -92,14 +93,14 @@
                 log.warning("connection closed, too many callers: peer=%s:%d", *address)
                 sock.close()
                 continue
-            conn = Connection(sock, f"{address[0]}:{address[1]}", self.deadlines, FIRST_US)
+            conn = Connection(sock, f"{address[0]}:{address[1]}", self.deadlines, FIRST_MESSAGE_TIMEOUT_US)
             caller = Caller(self, conn)
             self.callers[caller] = None
             runtime.spawn(self._serve, caller)
             if len(self.callers) >= self.max_callers:
                 runtime.sleep(0)  # a closed one's descriptor comes free when its reader has had a turn
 
-    def _trust(self, caller: Caller) -> None:
+    def _raise_trust(self, caller: Caller) -> None:
         """It has sent what can be used: releases that found nobody go there."""
         caller.trust = max(caller.trust, 1)
         for ref, cause in self.pending_releases.items():
@@ -114,12 +115,12 @@
 
     def close_idle(self) -> bool:
         """Close every connection on which nothing is open or unread; True when none is left."""
-        for caller in self._quiet():
+        for caller in self._idle_connections():
             if not caller.conn.unread():
                 caller.conn.close()
         return not any(caller.conn.open for caller in self.callers)
 
-    def _quiet(self) -> list[Caller]:
+    def _idle_connections(self) -> list[Caller]:
         """Connections on which no set-up is open and nothing waits to be written or made whole."""
         return [
             caller
@@ -129,7 +130,7 @@
 
     def _make_room(self) -> bool:
         """Close a connection on which nothing is open: one that never asked, else the one longest quiet."""
-        quiet = self._quiet()
+        quiet = self._idle_connections()
         # The silent go first, then those that sent nothing of use; last those whose calls stand, as they are
         # told on it: the rest may go to a peer that is no caller.
         quiet.sort(key=lambda caller: (caller.has_sent_message, caller.trust, caller.established_count > 0))
@@ -150,7 +151,7 @@
             if caller in self.callers:
                 self.callers.move_to_end(caller)
             try:
-                self._heard(caller, message)
+                self._handle_message(caller, message)
             except Malformed as error:
                 log.warning("connection closed, malformed input: peer=%s %s", caller.conn.peer, error)
                 caller.conn.close()
@@ -158,28 +159,31 @@
         for ref in list(caller.refs):
             self.call_manager.abandon(ref)
 
-    def _heard(self, caller: Caller, message: dict[str, Any]) -> None:
+    def _handle_message(self, caller: Caller, message: dict[str, Any]) -> None:
         kind, ref = message["t"], message.get("ref", "")
         if kind == "hb":
-            self._trust(caller)
+            self._raise_trust(caller)
             caller.conn.write(jsonlines.encode("hb_ok", ref, cause=0 if self.shutting_down else 1))
             return
-        if not REF.match(ref):
+        if not CALL_ID.match(ref):
             raise Malformed("no call id")
         if kind == "new":
             request = read_request(caller, message)
-            if request.time_left_us > self.call_manager.facade.deadline_us(request.class_name) + SLACK_US:
+            if (
+                request.time_left_us
+                > self.call_manager.facade.deadline_us(request.class_name) + DEADLINE_TOLERANCE_US
+            ):
                 request.time_left_us = -1
             if ref not in self.call_manager.open_calls:
                 caller.refs.add(ref)
-                self._trust(caller)
+                self._raise_trust(caller)
             self.call_manager.accept(request)
         elif kind == "down":
-            self._down(caller, ref, message.get("c"))
+            self._handle_release(caller, ref, message.get("c"))
         elif kind != "ack":
             raise Malformed("unknown type")
 
-    def _down(self, caller: Caller, ref: str, cause: object) -> None:
+    def _handle_release(self, caller: Caller, ref: str, cause: object) -> None:
         if self.call_manager.abandon(ref):
             caller.refs.discard(ref)
             return
@@ -207,7 +211,9 @@
         )
         if not any(c.write(data) for c in conns + [caller.conn for caller in others]):
             self.pending_releases[ref] = cause
-            self.deadlines.schedule(now_us() + RELEASE_KEPT_US, lambda: self.pending_releases.pop(ref, None))
+            self.deadlines.schedule(
+                now_us() + RELEASE_RETENTION_US, lambda: self.pending_releases.pop(ref, None)
+            )
 
 
 def _int(value: object, default: int) -> int:
@@ -237,9 +243,9 @@
     destination, source = _int(extras.get("dest"), -1), _int(extras.get("via", -1), -2)
     width = _float(extras.get("width", 1), -1.0)
     # Guards the hubs' wire too: a hub closes on what it can't read, with all that is open there.
-    if not NUMBER.match(number) or len(description) + HEAD_ROOM > sip.LIMIT:
+    if not NUMBER.match(number) or len(description) + INVITE_OVERHEAD > sip.LIMIT:
         number, destination = "", -1
-    if not 0 < width <= WIDEST or not -1 <= source <= 0xFFFF or destination > 0xFFFF:
+    if not 0 < width <= MAX_WIDTH or not -1 <= source <= 0xFFFF or destination > 0xFFFF:
         destination = -1
     return Request(
         ref=message["ref"],
--- a/barleywheel/fuzz/codecs.py
+++ b/barleywheel/fuzz/codecs.py
@@ -133,9 +133,9 @@
 
 
 def _request(message: dict[str, Any]) -> list[Breach]:
-    from barleywheel.fronts.platform import NUMBER, REF, read_request
+    from barleywheel.fronts.platform import CALL_ID, NUMBER, read_request
 
-    if message["t"] != "new" or not REF.match(message.get("ref", "")):
+    if message["t"] != "new" or not CALL_ID.match(message.get("ref", "")):
         return []
     request = read_request(None, message)  # type: ignore[arg-type]
     if request.destination >= 0 and request.time_left_us > 0:
@@ -201,7 +201,7 @@
     if made.type == isup.Type.REL:
         made.cause = 1 + (data or b"\0")[0] % 127
     if made.type in (isup.Type.IAM, isup.Type.ANM):
-        made.description = data[: isup.MOST_DESCRIPTION]
+        made.description = data[: isup.MAX_DESCRIPTION]
     try:
         again = isup.decode(isup.encode(made))
     except isup.IsupDecodeError as error:
--- a/barleywheel/fuzz/plants.py
+++ b/barleywheel/fuzz/plants.py
@@ -150,7 +150,7 @@
         "ids kept for ever",
         "router",
         "core/release.py",
-        "self._deadlines.schedule(now_us() + ENDED_KEPT_US, lambda: self.recently_ended.discard(ref))",
+        "self._deadlines.schedule(now_us() + ENDED_TTL_US, lambda: self.recently_ended.discard(ref))",
         "pass",
     ),
     Plant(
@@ -178,8 +178,8 @@
         "journal's reader ends",
         "router",
         "net/journal.py",
-        "BROKEN_OFF = (OSError, ValueError, Malformed, ",
-        "BROKEN_OFF = (OSError, ValueError, ",
+        "POLL_ERRORS = (OSError, ValueError, Malformed, ",
+        "POLL_ERRORS = (OSError, ValueError, ",
     ),
     Plant(
         "nesting unchecked",
--- a/barleywheel/fuzz/targets.py
+++ b/barleywheel/fuzz/targets.py
@@ -16,7 +16,7 @@
 from barleywheel.fuzz.shrink import Input
 from barleywheel.fuzz.source import Source
 from barleywheel.net.buffer import Buffer
-from barleywheel.net.journal import BROKEN_OFF, JournalClient
+from barleywheel.net.journal import POLL_ERRORS, JournalClient
 from barleywheel.standins import caller, exchange
 from barleywheel.virtual import world
 from barleywheel.wire import sip
@@ -90,7 +90,7 @@
         try:
             kept = journal._poll(Reads(pieces), Buffer())  # type: ignore[arg-type]
             end = f"again: {kept}" if len(pieces) < 2 else "again"
-        except BROKEN_OFF as error:
+        except POLL_ERRORS as error:
             end = type(error).__name__
         except Exception as error:
             return [Breach("parser raised", f"{type(error).__name__}: {str(error)[:200]}")], {}
--- a/barleywheel/net/connection.py
+++ b/barleywheel/net/connection.py
@@ -15,8 +15,8 @@
 from barleywheel.wire import Malformed
 
 log = logging.getLogger(__name__)
-QUEUE_LIMIT = 512 * 1024  # a peer that reads so much too slowly is cut off: it must not take our memory
-TURN = 16  # messages of one peer after which the others get a turn
+WRITE_QUEUE_LIMIT = 512 * 1024  # a peer that reads so much too slowly is cut off: it must not take our memory
+MESSAGES_PER_TURN = 16  # messages of one peer after which the others get a turn
 BLOCKED = (errno.EAGAIN, errno.EWOULDBLOCK)
 M = TypeVar("M")
 
@@ -35,12 +35,12 @@
         self.open, self.reset = True, False
         self.buffer = Buffer()
         self._queue = bytearray()
-        self._more = runtime.event()
+        self._data_queued = runtime.event()
         self._writing = False
-        self._deadlines, self._patience_us = deadlines, patience_us
-        self._late: DeadlineHandle | None = None
+        self._deadlines, self._message_timeout_us = deadlines, patience_us
+        self._message_timer: DeadlineHandle | None = None
         if first:
-            self._await_rest()
+            self._start_message_timer()
 
     @property
     def can_write_now(self) -> bool:
@@ -64,12 +64,12 @@
                     self.close(reset=True)
                     return False
         if sent < len(data):
-            if len(self._queue) + len(data) - sent > QUEUE_LIMIT:
+            if len(self._queue) + len(data) - sent > WRITE_QUEUE_LIMIT:
                 log.warning("connection closed, its write queue is full: peer=%s", self.peer)
                 self.close()
                 return False
             self._queue += data[sent:]
-            self._more.set()
+            self._data_queued.set()
             if not self._writing:
                 self._writing = True
                 runtime.spawn(self._drain)
@@ -78,8 +78,8 @@
     def _drain(self) -> None:
         while self.open:
             if not self._queue:
-                self._more.clear()
-                self._more.wait()
+                self._data_queued.clear()
+                self._data_queued.wait()
                 continue
             try:
                 sent = self.sock.send(self._queue[:65536])
@@ -96,13 +96,13 @@
                     return
                 count = 0
                 while self.open and (message := parse_next(self.buffer)) is not None:
-                    self._whole()
+                    self._cancel_message_timer()
                     yield message
                     count += 1
-                    if count % TURN == 0:
+                    if count % MESSAGES_PER_TURN == 0:
                         runtime.sleep(0)
-                if len(self.buffer) and self._late is None and self.open:
-                    self._await_rest()
+                if len(self.buffer) and self._message_timer is None and self.open:
+                    self._start_message_timer()
         except Malformed as error:
             log.warning("connection closed, malformed input: peer=%s %s", self.peer, error)
         except OSError as error:
@@ -110,16 +110,18 @@
         finally:
             self.close(self.reset)
 
-    def _await_rest(self) -> None:
-        self._late = self._deadlines.schedule(now_us() + self._patience_us, self._too_late)
+    def _start_message_timer(self) -> None:
+        self._message_timer = self._deadlines.schedule(
+            now_us() + self._message_timeout_us, self._message_timed_out
+        )
 
-    def _whole(self) -> None:
-        if self._late is not None:
-            self._deadlines.cancel(self._late)
-            self._late = None
+    def _cancel_message_timer(self) -> None:
+        if self._message_timer is not None:
+            self._deadlines.cancel(self._message_timer)
+            self._message_timer = None
 
-    def _too_late(self) -> None:
-        self._late = None
+    def _message_timed_out(self) -> None:
+        self._message_timer = None
         log.info("connection closed, no whole message in time: peer=%s bytes=%d", self.peer, len(self.buffer))
         self.close()
 
@@ -127,6 +129,6 @@
         """Close; a second time does nothing."""
         if self.open:
             self.open, self.reset = False, reset
-            self._whole()
-            self._more.set()
+            self._cancel_message_timer()
+            self._data_queued.set()
             self.sock.close()
--- a/barleywheel/net/hubs.py
+++ b/barleywheel/net/hubs.py
@@ -17,16 +17,17 @@
 from barleywheel.wire.journal import Endpoint
 
 log = logging.getLogger(__name__)
-MOST = 4  # connections a hub
-RETRY_S = (0.1, 0.25, 0.5, 1.0)  # waits between tries to reach a hub that can't be reached
-SILENT_US = 7_300_000  # calls at a hub that vanished so long ago are released: 8 s after an end is too late
-DOUBT_US = 3_000_000  # after so much silence a new connection must show that the hub is there
-QUIET_US = 80_000  # a set-up out, and nothing read for so long: the connection is tested
-PING_US = 100_000  # a test is passed at once; without an answer in this time the connection is dead
-LATE_US = 20_000  # a check that runs so late proves nothing: it was we who stood still
-REST_US = 250_000  # hubs write a message at once: the rest of a half one will not come
-DEAD_KEPT = 512  # set-ups that ended without standing, remembered for their late answers, a connection
-RELEASE_KEPT_US = 8_000_000  # how long a release waits for a connection to its hub
+MAX_CONNECTIONS = 4  # connections a hub
+RECONNECT_DELAYS_S = (0.1, 0.25, 0.5, 1.0)  # waits between tries to reach a hub that can't be reached
+# calls at a hub that vanished so long ago are released: 8 s after an end is too late
+SILENCE_RELEASE_US = 7_300_000
+SILENCE_RECONNECT_US = 3_000_000  # after so much silence a new connection must show that the hub is there
+PING_AFTER_SILENCE_US = 80_000  # a set-up out, and nothing read for so long: the connection is tested
+PING_TIMEOUT_US = 100_000  # a test is passed at once; without an answer in this time the connection is dead
+CHECK_LATENESS_LIMIT_US = 20_000  # a check that runs so late proves nothing: it was we who stood still
+MESSAGE_TIMEOUT_US = 250_000  # hubs write a message at once: the rest of a half one will not come
+MAX_ENDED_SETUPS = 512  # set-ups that ended without standing, remembered for their late answers, a connection
+RELEASE_RETENTION_US = 8_000_000  # how long a release waits for a connection to its hub
 STATUS_BY_RESPONSE = {
     503: AttemptStatus.REFUSED,
     486: AttemptStatus.ERROR,
@@ -41,18 +42,18 @@
     """A connection and the set-ups open on it."""
 
     def __init__(self, sock: sockets.Socket, peer: str, deadlines: Deadlines) -> None:
-        super().__init__(sock, peer, deadlines, REST_US, first=False)
+        super().__init__(sock, peer, deadlines, MESSAGE_TIMEOUT_US, first=False)
         self.setups: dict[tuple[str, int], Attempt] = {}
         # what a late 200 must be undone for
         self.ended_setups: OrderedDict[tuple[str, int], None] = OrderedDict()
-        self.heard_us = now_us()
+        self.last_received_us = now_us()
         self.check_scheduled = False  # a check of it is due while set-ups are out
         self.suspect = False  # a set-up on it timed out and nothing has been read since
 
     def remember_ended(self, key: tuple[str, int]) -> None:
         """Remember a set-up that has ended without standing."""
         self.ended_setups[key] = None
-        if len(self.ended_setups) > DEAD_KEPT:
+        if len(self.ended_setups) > MAX_ENDED_SETUPS:
             self.ended_setups.popitem(last=False)
 
 
@@ -71,8 +72,9 @@
         self.connections: list[HubConnection] = []
         self.connecting = 0
         self.gone = False
-        self.heard_us = now_us()
-        self.release_scheduled_for_us = 0  # the heard_us for which a release of its calls is already due
+        self.last_received_us = now_us()
+        # the last_received_us for which a release of its calls is already due
+        self.release_scheduled_for_us = 0
         # for its keeper; a try to connect has ended
         self.wake, self.connect_finished = runtime.event(), runtime.event()
         self.releases: list[tuple[int, str, int, str, int]] = []  # waiting for a connection: until, BYE
@@ -111,19 +113,19 @@
             name = endpoint.name.encode("utf-8", "surrogatepass")
             named.add(name)
             if endpoint.status == "Gone":
-                self._drop(name)
+                self._remove(name)
             elif name not in self.hubs and endpoint.address is not None:
                 self.hubs[name] = Hub(name, endpoint.address)
-                if self.facade.cell(name) != self.facade.home and not self._elsewhere(name):
-                    runtime.spawn(self._keep, self.hubs[name])
+                if self.facade.cell(name) != self.facade.home and not self._has_other_carrier(name):
+                    runtime.spawn(self._maintain, self.hubs[name])
         if whole:
             for name in [name for name in self.hubs if name not in named]:
-                self._drop(name)
+                self._remove(name)
 
-    def _elsewhere(self, name: bytes) -> bool:
+    def _has_other_carrier(self, name: bytes) -> bool:
         return self.facade.cell(name) in self.call_manager.carriers  # another carrier reaches that one
 
-    def _drop(self, name: bytes) -> None:
+    def _remove(self, name: bytes) -> None:
         hub = self.hubs.pop(name, None)
         if hub is not None:
             hub.gone = True
@@ -136,50 +138,54 @@
 
     # Connections.
 
-    def _keep(self, hub: Hub) -> None:
+    def _maintain(self, hub: Hub) -> None:
         """Keep a connection open: group state comes on it, and releases."""
         tries = 0
         while not hub.gone:
             if (
                 hub.usable_connection() is None
-                and len(hub.connections) + hub.connecting < MOST
-                and not self._replaced(hub)
+                and len(hub.connections) + hub.connecting < MAX_CONNECTIONS
+                and not self._address_taken_over(hub)
             ):
                 tries = 0 if self._connect(hub) else tries + 1
-            elif now_us() - hub.heard_us > DOUBT_US:
-                self._renew(hub)
+            elif now_us() - hub.last_received_us > SILENCE_RECONNECT_US:
+                self._replace_silent_connection(hub)
             hub.wake.clear()
-            hub.wake.wait(RETRY_S[min(tries, len(RETRY_S) - 1)] if hub.usable_connection() is None else 1.0)
+            hub.wake.wait(
+                RECONNECT_DELAYS_S[min(tries, len(RECONNECT_DELAYS_S) - 1)]
+                if hub.usable_connection() is None
+                else 1.0
+            )
 
-    def _renew(self, hub: Hub) -> None:
+    def _replace_silent_connection(self, hub: Hub) -> None:
         """Put a new connection in the place of a silent one: a machine that vanished lets none come up."""
         old = [conn for conn in hub.connections if not conn.setups]
-        if len(hub.connections) + hub.connecting >= MOST:
+        if len(hub.connections) + hub.connecting >= MAX_CONNECTIONS:
             if old:
                 old[0].close()
         elif self._connect(hub) is None:
             for conn in hub.connections:
-                conn.suspect = now_us() - hub.heard_us > DOUBT_US
+                conn.suspect = now_us() - hub.last_received_us > SILENCE_RECONNECT_US
         else:
             for conn in old:
                 conn.close()
 
-    def _doubt(self, hub: Hub) -> None:
+    def _schedule_silence_release(self, hub: Hub) -> None:
         """The hub can't be reached, or is gone with connections open: unless heard, its calls are over."""
-        heard = hub.heard_us
+        heard = hub.last_received_us
         if hub.release_scheduled_for_us != heard:
             hub.release_scheduled_for_us = heard
 
             def check() -> None:
                 # Guards calls that end while their hub is cut off: nothing says so, and yet their
                 # callers must be told within 8 s. Those that would have gone on are lost with them.
-                if hub.heard_us == heard:
+                if hub.last_received_us == heard:
                     log.warning("calls of a silent hub released: hub=%s", hub.name.decode())
                     self.call_manager.established.release_all_at_hub(hub.name)
 
-            self.deadlines.schedule(max(heard + SILENT_US, now_us()), check)
+            self.deadlines.schedule(max(heard + SILENCE_RELEASE_US, now_us()), check)
 
-    def _replaced(self, hub: Hub) -> bool:
+    def _address_taken_over(self, hub: Hub) -> bool:
         """A new hub may have the address of one that drains or is gone."""
         return not self.facade.ready(hub.name) and any(
             other.address == hub.address and self.facade.ready(other.name) for other in self.hubs.values()
@@ -193,18 +199,18 @@
         except (OSError, ValueError) as error:
             log.info("hub not reached: hub=%s %s", hub.name.decode(), error)
             if not isinstance(error, ConnectionRefusedError):
-                self._doubt(hub)
+                self._schedule_silence_release(hub)
             elif not hub.connections:
                 # its process is dead, and its calls are cut
                 self.call_manager.established.release_all_at_hub(hub.name)
             else:
                 # Guards calls through a draining hub: it takes no new connections, and keeps those it has.
-                hub.heard_us = now_us()
+                hub.last_received_us = now_us()
             return None
         finally:
             hub.connecting -= 1
             hub.connect_finished.set()
-        hub.heard_us = now_us()
+        hub.last_received_us = now_us()
         conn = HubConnection(sock, hub.name.decode(), self.deadlines)
         hub.connections.append(conn)
         runtime.spawn(self._read, hub, conn)
@@ -216,10 +222,10 @@
 
     def _read(self, hub: Hub, conn: HubConnection) -> None:
         for message in conn.messages(sip.parse_next):
-            conn.heard_us = hub.heard_us = now_us()
+            conn.last_received_us = hub.last_received_us = now_us()
             conn.suspect = False
             try:
-                self._heard(hub, conn, message)
+                self._handle_message(hub, conn, message)
             except Exception:  # no hub's message may end the process, or the connection's other calls
                 log.exception("message of a hub not understood: hub=%s", conn.peer)
         hub.connections.remove(conn)
@@ -246,7 +252,7 @@
             runtime.spawn(self._connect_and_send, hub, attempt)
 
     def _connect_and_send(self, hub: Hub, attempt: Attempt) -> None:
-        if len(hub.connections) + hub.connecting >= MOST:
+        if len(hub.connections) + hub.connecting >= MAX_CONNECTIONS:
             silent = [c for c in hub.connections if c.suspect and not c.setups]
             if not silent:
                 self._send_on_other(hub, attempt)
@@ -302,15 +308,15 @@
             log.info("set-up moved to another connection: hub=%s ref=%s", conn.peer, request.ref)
             self.place(attempt)
         elif not conn.check_scheduled:
-            self._watch(conn, attempt.hub, QUIET_US, False)
+            self._schedule_check(conn, attempt.hub, PING_AFTER_SILENCE_US, False)
 
-    def _watch(self, conn: HubConnection, name: bytes, wait_us: int, tested: bool) -> None:
+    def _schedule_check(self, conn: HubConnection, name: bytes, wait_us: int, tested: bool) -> None:
         """Look after a connection with set-ups out: one that is open and silent is of no further use.
 
         A hub that is merely slow passes the test (OPTIONS) at once; where nothing comes, the set-ups on the
         connection are given up, and others no longer go there. Not at a draining hub, which takes no new one.
         """
-        heard, due, conn.check_scheduled = conn.heard_us, now_us() + wait_us, True
+        heard, due, conn.check_scheduled = conn.last_received_us, now_us() + wait_us, True
 
         def check() -> None:
             conn.check_scheduled = False
@@ -318,14 +324,18 @@
                 return
             now = now_us()
             first = next(iter(conn.setups.values())).sent_us
-            if conn.heard_us != heard or now - due > LATE_US or now - first < QUIET_US // 2:
-                self._watch(conn, name, QUIET_US, False)
+            if (
+                conn.last_received_us != heard
+                or now - due > CHECK_LATENESS_LIMIT_US
+                or now - first < PING_AFTER_SILENCE_US // 2
+            ):
+                self._schedule_check(conn, name, PING_AFTER_SILENCE_US, False)
             elif tested:
                 log.info("connection closed, silent: hub=%s open=%d", conn.peer, len(conn.setups))
                 conn.close()
             else:
                 conn.write(sip.request("OPTIONS", "sip:ping@net", f"{now:016x}", 1))
-                self._watch(conn, name, PING_US, True)
+                self._schedule_check(conn, name, PING_TIMEOUT_US, True)
 
         self.deadlines.schedule(due, check)
 
@@ -340,7 +350,7 @@
         hub_attempt.conn.remember_ended((ref, hub_attempt.cseq))
         hub_attempt.conn.write(sip.request("CANCEL", f"sip:{hub_attempt.number}@net", ref, hub_attempt.cseq))
         if (
-            hub_attempt.conn.heard_us < attempt.sent_us
+            hub_attempt.conn.last_received_us < attempt.sent_us
             and attempt.result is not None
             and (attempt.result.status is AttemptStatus.TIMEOUT)
         ):
@@ -359,15 +369,15 @@
         if not any(conn.write(data) for conn in connections) and hub is not None:
             hub.releases = [kept for kept in hub.releases if kept[0] > now_us()]
             hub.releases.append(
-                (now_us() + RELEASE_KEPT_US, leg.ref, hub_attempt.cseq + 1, hub_attempt.number, cause)
+                (now_us() + RELEASE_RETENTION_US, leg.ref, hub_attempt.cseq + 1, hub_attempt.number, cause)
             )
 
     # What hubs say.
 
-    def _heard(self, hub: Hub, conn: HubConnection, message: sip.Message) -> None:
+    def _handle_message(self, hub: Hub, conn: HubConnection, message: sip.Message) -> None:
         if message.status:
             if message.cseq[1] == "INVITE" and message.status >= 200:
-                self._answered(hub, conn, message)
+                self._handle_final_response(hub, conn, message)
         elif message.method == "NOTIFY":
             self.facade.group(hub.name, message.load)
         elif message.method == "BYE":
@@ -378,7 +388,7 @@
         elif message.method != "ACK":
             conn.write(sip.response(200, "OK", message))
 
-    def _answered(self, hub: Hub, conn: HubConnection, message: sip.Message) -> None:
+    def _handle_final_response(self, hub: Hub, conn: HubConnection, message: sip.Message) -> None:
         """A final answer. It counts only for the attempt with its connection, Call-ID and CSeq."""
         ref, cseq, load = message.call_id, message.cseq[0], message.load
         attempt = conn.setups.pop((ref, cseq), None)
--- a/barleywheel/net/journal.py
+++ b/barleywheel/net/journal.py
@@ -15,12 +15,13 @@
 from barleywheel.wire import Malformed, journal
 
 log = logging.getLogger(__name__)
-HOLD_MS = 1000  # how long the service may hold a poll
-STALL_S = 1.8  # a poll that says nothing for so long is taken for cut off, well within the 7 s that count
-CONNECT_S = 0.6
-RETRY_S = 0.2
-MOST = 4 * 1024 * 1024
-BROKEN_OFF = (OSError, ValueError, Malformed, httptools.HttpParserError, httptools.HttpParserUpgrade)
+POLL_HOLD_MS = 1000  # how long the service may hold a poll
+# a poll that says nothing for so long is taken for cut off, well within the 7 s that count
+POLL_TIMEOUT_S = 1.8
+CONNECT_TIMEOUT_S = 0.6
+RETRY_DELAY_S = 0.2
+MAX_ANSWER_SIZE = 4 * 1024 * 1024
+POLL_ERRORS = (OSError, ValueError, Malformed, httptools.HttpParserError, httptools.HttpParserUpgrade)
 
 
 class JournalResponse:
@@ -50,14 +51,14 @@
         self.pos = 0
         self.alive = False  # for the agent
         self._sock: sockets.Socket | None = None
-        self._moved = runtime.event()
+        self._address_changed = runtime.event()
 
     def set_address(self, address: str) -> None:
         """Go on at another address, from the next number on; the old connection is dropped."""
         if address == self.address:
             return
         self.address = address
-        self._moved.set()
+        self._address_changed.set()
         if self._sock is not None:
             self._sock.close()  # wakes a poll that is being held
 
@@ -84,32 +85,33 @@
     def run(self) -> None:
         """Poll for ever, over one connection while it works."""
         while True:
-            self._moved.clear()
+            self._address_changed.clear()
             try:
                 self._follow()
-            except BROKEN_OFF as error:
-                if self.alive and not self._moved.is_set():
+            except POLL_ERRORS as error:
+                if self.alive and not self._address_changed.is_set():
                     log.warning("journal poll broken off, opened anew: %s", error or type(error).__name__)
                 self.alive = False
-            self._moved.wait(RETRY_S)
+            self._address_changed.wait(RETRY_DELAY_S)
 
     def _follow(self) -> None:
-        sock = self._sock = sockets.connect(self.address, CONNECT_S)
-        if self._moved.is_set():  # while it was being connected
+        sock = self._sock = sockets.connect(self.address, CONNECT_TIMEOUT_S)
+        if self._address_changed.is_set():  # while it was being connected
             sock.close()
             return
         try:
             buffer, again = Buffer(), True
             while again:
-                sock.settimeout(STALL_S)
+                sock.settimeout(POLL_TIMEOUT_S)
                 sock.sendall(
-                    f"GET /journal?tail={self.pos}&max_wait={HOLD_MS} HTTP/1.1\r\n"
+                    f"GET /journal?tail={self.pos}&max_wait={POLL_HOLD_MS} HTTP/1.1\r\n"
                     f"Host: {self.address}\r\n\r\n".encode()
                 )
                 before, asked_us = self.pos, now_us()
                 again = self._poll(sock, buffer)
-                if again and self.pos == before and now_us() - asked_us < HOLD_MS * 500:
-                    self._moved.wait(RETRY_S)  # guards against a service that says nothing, and that at once
+                if again and self.pos == before and now_us() - asked_us < POLL_HOLD_MS * 500:
+                    # guards against a service that says nothing, and that at once
+                    self._address_changed.wait(RETRY_DELAY_S)
         finally:
             self._sock = None
             sock.close()
@@ -118,13 +120,13 @@
         """Read one answer; whether the connection may be used again."""
         answer = JournalResponse()
         parser = answer.parser
-        until = now_us() + int(STALL_S * 1e6)
+        until = now_us() + int(POLL_TIMEOUT_S * 1e6)
         while not answer.done:
             sock.settimeout(max(0.0, (until - now_us()) / 1e6))
             if buffer.fill(sock) == 0:
                 raise ConnectionError("closed by the service")
             parser.feed_data(buffer.take(len(buffer)))
-            if len(answer.body) > MOST:
+            if len(answer.body) > MAX_ANSWER_SIZE:
                 raise ValueError("answer too large")
         if parser.get_status_code() != 200:
             raise ValueError(f"status {parser.get_status_code()}")
--- a/barleywheel/wire/isup.py
+++ b/barleywheel/wire/isup.py
@@ -10,8 +10,8 @@
 from dataclasses import dataclass
 from enum import IntEnum
 
-MOST_DIGITS = 16
-MOST_DESCRIPTION = 252  # a parameter's length is one byte, and pointers too
+MAX_DIGITS = 16
+MAX_DESCRIPTION = 252  # a parameter's length is one byte, and pointers too
 CALLED, CAUSE, USER_TO_USER = 0x04, 0x12, 0x20
 HEAD = struct.Struct("<HB")
 
@@ -48,7 +48,7 @@
     head = HEAD.pack(message.cic & 0xFFF, message.type)
     optional = b""
     if message.description and message.type in (Type.IAM, Type.ANM):
-        if len(message.description) > MOST_DESCRIPTION:
+        if len(message.description) > MAX_DESCRIPTION:
             raise ValueError("description too long for user-to-user information")
         optional = bytes([USER_TO_USER, len(message.description)]) + message.description + b"\0"
     if message.type == Type.IAM:
--- a/barleywheel/wire/journal.py
+++ b/barleywheel/wire/journal.py
@@ -8,10 +8,10 @@
 
 from barleywheel.wire import Malformed
 
-MOST_EVENTS, MOST_ENDPOINTS = 10_000, 10_000  # of one answer, and of one event
-MOST_NAME = 256
-MOST_NUMBER = 1 << 53  # what JSON carries exactly
-MOST_CELL = 0xFFFF
+MAX_EVENTS, MAX_ENDPOINTS = 10_000, 10_000  # of one answer, and of one event
+MAX_NAME_LENGTH = 256
+MAX_NUMBER = 1 << 53  # what JSON carries exactly
+MAX_CELL = 0xFFFF
 
 
 @dataclass(slots=True)
@@ -51,7 +51,7 @@
     if not isinstance(raw, dict):
         raise Malformed("an answer that is no object")
     entries = raw.get("entries") or []
-    if not isinstance(entries, list) or len(entries) > MOST_EVENTS:
+    if not isinstance(entries, list) or len(entries) > MAX_EVENTS:
         raise Malformed("entries are no list, or too many")
     found = [event for entry in entries if (event := _event(entry)) is not None]
     last = max((event.pos for event in found), default=0)
@@ -65,7 +65,7 @@
     if not isinstance(hosts, dict):
         return Event(pos, False, [])  # of another kind: its number counts
     endpoints = hosts.get("endpoints") or []
-    if not isinstance(endpoints, list) or len(endpoints) > MOST_ENDPOINTS:
+    if not isinstance(endpoints, list) or len(endpoints) > MAX_ENDPOINTS:
         raise Malformed("endpoints are no list, or too many")
     return Event(pos, bool(hosts.get("snapshot")), [_endpoint(one) for one in endpoints])
 
@@ -74,17 +74,17 @@
     if (
         not isinstance(one, dict)
         or not isinstance(one.get("name"), str)
-        or not (0 < len(one["name"]) <= MOST_NAME)
+        or not (0 < len(one["name"]) <= MAX_NAME_LENGTH)
     ):
         raise Malformed("an endpoint without a name")
     address = one.get("address")
     if address is not None and not _is_address(address):
         raise Malformed(f"no address: {str(address)[:80]!r}")
     weight = one.get("weight", 1.0)
-    if isinstance(weight, bool) or not isinstance(weight, int | float) or not 0 <= weight <= MOST_NUMBER:
+    if isinstance(weight, bool) or not isinstance(weight, int | float) or not 0 <= weight <= MAX_NUMBER:
         raise Malformed("weight")
     cell = _number(one.get("group") or 0, "group")
-    if cell > MOST_CELL:
+    if cell > MAX_CELL:
         raise Malformed("group")
     return Endpoint(
         one["name"],
@@ -99,7 +99,7 @@
 
 
 def _is_address(value: object) -> bool:
-    if not isinstance(value, str) or len(value) > MOST_NAME:
+    if not isinstance(value, str) or len(value) > MAX_NAME_LENGTH:
         return False
     host, _, port = value.rpartition(":")
     return bool(host) and port.isascii() and port.isdigit() and len(port) <= 5 and int(port) <= 65535
@@ -107,6 +107,6 @@
 
 def _number(value: object, what: str) -> int:
     """A whole number from 0; a float that is one will do, and a bool is none."""
-    if isinstance(value, bool) or not isinstance(value, int | float) or not 0 <= value <= MOST_NUMBER:
+    if isinstance(value, bool) or not isinstance(value, int | float) or not 0 <= value <= MAX_NUMBER:
         raise Malformed(f"{what} is no number: {str(value)[:40]!r}")
     return int(value)
--- a/barleywheel/wire/sip.py
+++ b/barleywheel/wire/sip.py
@@ -9,7 +9,7 @@
 from barleywheel.wire import Malformed
 
 LIMIT = 16 * 1024
-MOST_CSEQ = 1 << 31  # RFC 3261, 8.1.1.5
+MAX_CSEQ = 1 << 31  # RFC 3261, 8.1.1.5
 STATUS = re.compile(r"SIP/2\.0 ([1-6]\d\d)(?: .*)?\Z")
 REQUEST = re.compile(r"([A-Z]+) (\S+) SIP/2\.0\Z")
 START = re.compile(rb"SIP/2\.0 [1-6]\d\d |[A-Z]{3,16} [^\s]{1,200} SIP/2\.0\r\n")
@@ -39,7 +39,7 @@
     def cseq(self) -> tuple[int, str]:
         """Number and method; a missing or strange one is (0, '')."""
         number, _, method = self.headers.get("cseq", "").partition(" ")
-        if not (number.isascii() and number.isdigit() and len(number) <= 10 and int(number) < MOST_CSEQ):
+        if not (number.isascii() and number.isdigit() and len(number) <= 10 and int(number) < MAX_CSEQ):
             return 0, ""
         return int(number), method.strip()
 
