--- a/barleywheel/fronts/platform.py
+++ b/barleywheel/fronts/platform.py
@@ -9,22 +9,23 @@
 from typing import Any
 
 from barleywheel.core import runtime
+from barleywheel.core.call_manager import CallManager
 from barleywheel.core.deadlines import Deadlines
-from barleywheel.core.life import Life
-from barleywheel.core.model import CAUSE_CUT, CAUSE_NORMAL, Rejection, Request
+from barleywheel.core.model import CAUSE_NORMAL_CLEARING, CAUSE_TEMPORARY_FAILURE, Rejection, Request
 from barleywheel.core.runtime import now_us
 from barleywheel.net import sockets
 from barleywheel.net.connection import Connection
 from barleywheel.wire import Malformed, jsonlines, sip
 
 log = logging.getLogger(__name__)
-REF = re.compile(r"[0-9a-fA-F]{16}\Z")
+CALL_ID = re.compile(r"[0-9a-fA-F]{16}\Z")
 NUMBER = re.compile(r"[0-9a-fA-F]{1,16}\Z")
-RELEASE_KEPT_US = 8_000_000  # how long a release waits for a caller's connection
-FIRST_US = 2_300_000  # a connection without a whole message for so long is closed: a close is owed within 3 s
-SLACK_US = 1_000_000  # no caller waits longer than its class's deadline, give or take this
-HEAD_ROOM = 512  # an INVITE is a description and at most so much round it
-WIDEST = 64.0  # circuits
+RELEASE_RETENTION_US = 8_000_000  # how long a release waits for a caller's connection
+# a connection without a whole message for so long is closed: a close is owed within 3 s
+FIRST_MESSAGE_TIMEOUT_US = 2_300_000
+DEADLINE_TOLERANCE_US = 1_000_000  # no caller waits longer than its class's deadline, give or take this
+INVITE_OVERHEAD = 512  # an INVITE is a description and at most so much round it
+MAX_WIDTH = 64.0  # circuits
 
 
 class Caller:
@@ -33,23 +34,24 @@
     def __init__(self, front: PlatformFront, conn: Connection) -> None:
         self.front, self.conn = front, conn
         self.refs: set[str] = set()  # set-ups open on it
-        self.asked = False  # a whole message has come on it
+        self.has_sent_message = False  # a whole message has come on it
         self.trust = 0  # 1: it has sent what can be used; 2: a call of it stood
-        self.standing = 0  # calls that it has been told to stand, and not yet told to be over
+        self.established_count = 0  # calls that it has been told to stand, and not yet told to be over
 
     def answer(self, request: Request, description: bytes) -> bool:
         """Tell that the call stands."""
         data = jsonlines.encode("up", request.ref, description=description)
         if len(data) > jsonlines.LIMIT:  # escaped, it has grown beyond what the wire allows
-            self.reject(request, Rejection(CAUSE_CUT))
+            self.reject(request, Rejection(CAUSE_TEMPORARY_FAILURE))
             return False
         self.refs.discard(request.ref)
-        self.trust, self.standing = 2, self.standing + 1
+        self.trust, self.established_count = 2, self.established_count + 1
         return self.conn.write(data)
 
     def reject(self, request: Request, rejection: Rejection) -> None:
         """Tell that the call is refused or failed, and when to come back where the module advises it."""
-        if request.ref not in self.front.life.open:  # a repeat of an open id: the first is still open here
+        # a repeat of an open id: the first is still open here
+        if request.ref not in self.front.call_manager.open_calls:
             self.refs.discard(request.ref)
         ms = math.ceil(rejection.retry_after_us / 1000)
         advice = {"wait": str(ms)} if ms else {}
@@ -57,18 +59,18 @@
 
     def release(self, ref: str, cause: int) -> None:
         """Tell that a call that stood is over."""
-        self.standing -= 1
+        self.established_count -= 1
         self.front.release(ref, cause, self.conn)
 
 
 class PlatformFront:
     """Listens for callers."""
 
-    def __init__(self, life: Life, deadlines: Deadlines, most: int) -> None:
-        self.life, self.deadlines, self.most = life, deadlines, most
+    def __init__(self, call_manager: CallManager, deadlines: Deadlines, max_callers: int) -> None:
+        self.call_manager, self.deadlines, self.max_callers = call_manager, deadlines, max_callers
         self.callers: OrderedDict[Caller, None] = OrderedDict()  # the one that spoke last comes last
-        self.waiting: dict[str, int] = {}  # releases that no connection was open for
-        self.leaving = self.closed = False
+        self.pending_releases: dict[str, int] = {}  # releases that no connection was open for
+        self.shutting_down = self.closed = False
         self._listener: sockets.Listener | None = None
 
     def listen(self, address: str) -> None:
@@ -87,23 +89,23 @@
                 log.warning("accept failed: %s", error)  # out of descriptors: some come free in time
                 runtime.sleep(0.05)
                 continue
-            if len(self.callers) >= self.most and not self._make_room():
+            if len(self.callers) >= self.max_callers and not self._make_room():
                 log.warning("connection closed, too many callers: peer=%s:%d", *address)
                 sock.close()
                 continue
-            conn = Connection(sock, f"{address[0]}:{address[1]}", self.deadlines, FIRST_US)
+            conn = Connection(sock, f"{address[0]}:{address[1]}", self.deadlines, FIRST_MESSAGE_TIMEOUT_US)
             caller = Caller(self, conn)
             self.callers[caller] = None
             runtime.spawn(self._serve, caller)
-            if len(self.callers) >= self.most:
+            if len(self.callers) >= self.max_callers:
                 runtime.sleep(0)  # a closed one's descriptor comes free when its reader has had a turn
 
-    def _trust(self, caller: Caller) -> None:
+    def _raise_trust(self, caller: Caller) -> None:
         """It has sent what can be used: releases that found nobody go there."""
         caller.trust = max(caller.trust, 1)
-        for ref, cause in self.waiting.items():
+        for ref, cause in self.pending_releases.items():
             caller.conn.write(jsonlines.encode("down", ref, cause=cause))
-        self.waiting.clear()
+        self.pending_releases.clear()
 
     def close(self) -> None:
         """Take no further connections."""
@@ -111,82 +113,88 @@
         if self._listener is not None:
             self._listener.close()
 
-    def hang_up(self) -> bool:
+    def close_idle(self) -> bool:
         """Close every connection on which nothing is open or unread; True when none is left."""
-        for caller in self._quiet():
+        for caller in self._idle_connections():
             if not caller.conn.unread():
                 caller.conn.close()
         return not any(caller.conn.open for caller in self.callers)
 
-    def _quiet(self) -> list[Caller]:
+    def _idle_connections(self) -> list[Caller]:
         """Connections on which no set-up is open and nothing waits to be written or made whole."""
         return [
             caller
             for caller in self.callers
-            if not caller.refs and caller.conn.clear and not len(caller.conn.buffer)
+            if not caller.refs and caller.conn.can_write_now and not len(caller.conn.buffer)
         ]
 
     def _make_room(self) -> bool:
         """Close a connection on which nothing is open: one that never asked, else the one longest quiet."""
-        quiet = self._quiet()
+        quiet = self._idle_connections()
         # The silent go first, then those that sent nothing of use; last those whose calls stand, as they are
         # told on it: the rest may go to a peer that is no caller.
-        quiet.sort(key=lambda caller: (caller.asked, caller.trust, caller.standing > 0))
+        quiet.sort(key=lambda caller: (caller.has_sent_message, caller.trust, caller.established_count > 0))
         # Guards set-ups that have come and wait for their reader's turn: a close would lose them.
         caller = next((caller for caller in quiet if not caller.conn.unread()), None)
         if caller is None:
             return False
-        log.info("connection closed to make room: peer=%s asked=%s", caller.conn.peer, caller.asked)
+        log.info(
+            "connection closed to make room: peer=%s asked=%s", caller.conn.peer, caller.has_sent_message
+        )
         del self.callers[caller]
         caller.conn.close()
         return True
 
     def _serve(self, caller: Caller) -> None:
-        for message in caller.conn.messages(jsonlines.cut):
-            caller.asked = True
+        for message in caller.conn.messages(jsonlines.parse_next):
+            caller.has_sent_message = True
             if caller in self.callers:
                 self.callers.move_to_end(caller)
             try:
-                self._heard(caller, message)
+                self._handle_message(caller, message)
             except Malformed as error:
                 log.warning("connection closed, malformed input: peer=%s %s", caller.conn.peer, error)
                 caller.conn.close()
         self.callers.pop(caller, None)
         for ref in list(caller.refs):
-            self.life.abandon(ref)
+            self.call_manager.abandon(ref)
 
-    def _heard(self, caller: Caller, message: dict[str, Any]) -> None:
+    def _handle_message(self, caller: Caller, message: dict[str, Any]) -> None:
         kind, ref = message["t"], message.get("ref", "")
         if kind == "hb":
-            self._trust(caller)
-            caller.conn.write(jsonlines.encode("hb_ok", ref, cause=0 if self.leaving else 1))
+            self._raise_trust(caller)
+            caller.conn.write(jsonlines.encode("hb_ok", ref, cause=0 if self.shutting_down else 1))
             return
-        if not REF.match(ref):
+        if not CALL_ID.match(ref):
             raise Malformed("no call id")
         if kind == "new":
             request = read_request(caller, message)
-            if request.left_us > self.life.facade.deadline_us(request.class_name) + SLACK_US:
-                request.left_us = -1
-            if ref not in self.life.open:
+            if (
+                request.time_left_us
+                > self.call_manager.facade.deadline_us(request.class_name) + DEADLINE_TOLERANCE_US
+            ):
+                request.time_left_us = -1
+            if ref not in self.call_manager.open_calls:
                 caller.refs.add(ref)
-                self._trust(caller)
-            self.life.take(request)
+                self._raise_trust(caller)
+            self.call_manager.accept(request)
         elif kind == "down":
-            self._down(caller, ref, message.get("c"))
+            self._handle_release(caller, ref, message.get("c"))
         elif kind != "ack":
             raise Malformed("unknown type")
 
-    def _down(self, caller: Caller, ref: str, cause: object) -> None:
-        if self.life.abandon(ref):
+    def _handle_release(self, caller: Caller, ref: str, cause: object) -> None:
+        if self.call_manager.abandon(ref):
             caller.refs.discard(ref)
             return
-        number = cause if type(cause) is int and 0 < cause < 128 else CAUSE_NORMAL  # true is an int too
-        leg = self.life.standing.legs.get(ref)
+        # true is an int too
+        number = cause if type(cause) is int and 0 < cause < 128 else CAUSE_NORMAL_CLEARING
+        leg = self.call_manager.established.legs.get(ref)
         if leg is not None and isinstance(leg.origin, Caller):
-            leg.origin.standing -= 1
-        if self.life.standing.by_caller(ref, number):
+            leg.origin.established_count -= 1
+        if self.call_manager.established.release_from_caller(ref, number):
             caller.conn.write(jsonlines.encode("ack", ref))
-        elif ref not in self.life.standing.ended:
+        elif ref not in self.call_manager.established.recently_ended:
             log.info("release of an unknown call: ref=%s cause=%d", ref, number)
             caller.conn.write(jsonlines.encode("ack", ref))
 
@@ -202,8 +210,10 @@
             key=lambda caller: (-caller.trust, not caller.conn.peer.startswith(host + ":")),
         )
         if not any(c.write(data) for c in conns + [caller.conn for caller in others]):
-            self.waiting[ref] = cause
-            self.deadlines.at(now_us() + RELEASE_KEPT_US, lambda: self.waiting.pop(ref, None))
+            self.pending_releases[ref] = cause
+            self.deadlines.schedule(
+                now_us() + RELEASE_RETENTION_US, lambda: self.pending_releases.pop(ref, None)
+            )
 
 
 def _int(value: object, default: int) -> int:
@@ -233,22 +243,22 @@
     destination, source = _int(extras.get("dest"), -1), _int(extras.get("via", -1), -2)
     width = _float(extras.get("width", 1), -1.0)
     # Guards the hubs' wire too: a hub closes on what it can't read, with all that is open there.
-    if not NUMBER.match(number) or len(description) + HEAD_ROOM > sip.LIMIT:
+    if not NUMBER.match(number) or len(description) + INVITE_OVERHEAD > sip.LIMIT:
         number, destination = "", -1
-    if not 0 < width <= WIDEST or not -1 <= source <= 0xFFFF or destination > 0xFFFF:
+    if not 0 < width <= MAX_WIDTH or not -1 <= source <= 0xFFFF or destination > 0xFFFF:
         destination = -1
     return Request(
         ref=message["ref"],
         class_name=str(fields.get("class", "")),
-        left_us=int(left_ms * 1000) if 0 < left_ms < 1e9 else -1,
+        time_left_us=int(left_ms * 1000) if 0 < left_ms < 1e9 else -1,
         destination=destination,
-        number=number,
+        called_number=number,
         description=description,
         received_us=now_us(),
         origin=origin,
         width=width,
-        source=source if source >= 0 else None,
+        source_cell=source if source >= 0 else None,
         redialled=str(fields.get("retry", "0")) not in ("0", ""),
         in_transit=extras.get("transit") == "1",
-        cut_before=extras.get("again") == "1",
+        interrupted_before=extras.get("again") == "1",
     )
--- a/barleywheel/wire/isup.py
+++ b/barleywheel/wire/isup.py
@@ -10,8 +10,8 @@
 from dataclasses import dataclass
 from enum import IntEnum
 
-MOST_DIGITS = 16
-MOST_DESCRIPTION = 252  # a parameter's length is one byte, and pointers too
+MAX_DIGITS = 16
+MAX_DESCRIPTION = 252  # a parameter's length is one byte, and pointers too
 CALLED, CAUSE, USER_TO_USER = 0x04, 0x12, 0x20
 HEAD = struct.Struct("<HB")
 
@@ -27,7 +27,7 @@
     RSC = 0x12
 
 
-class Unreadable(Exception):
+class IsupDecodeError(Exception):
     """The message contradicts itself."""
 
 
@@ -48,7 +48,7 @@
     head = HEAD.pack(message.cic & 0xFFF, message.type)
     optional = b""
     if message.description and message.type in (Type.IAM, Type.ANM):
-        if len(message.description) > MOST_DESCRIPTION:
+        if len(message.description) > MAX_DESCRIPTION:
             raise ValueError("description too long for user-to-user information")
         optional = bytes([USER_TO_USER, len(message.description)]) + message.description + b"\0"
     if message.type == Type.IAM:
@@ -89,14 +89,14 @@
             message.cause = _variable(data, HEAD.size)[1] & 0x7F
         return message
     except (IndexError, struct.error) as error:
-        raise Unreadable(f"cut short: {error}") from error
+        raise IsupDecodeError(f"cut short: {error}") from error
 
 
 def _variable(data: bytes, pointer_at: int) -> bytes:
     at = pointer_at + data[pointer_at]
     value = data[at + 1 : at + 1 + data[at]]
     if len(value) < 2 or len(value) != data[at] or data[pointer_at] == 0:
-        raise Unreadable("mandatory parameter missing or cut short")
+        raise IsupDecodeError("mandatory parameter missing or cut short")
     return value
 
 
@@ -108,7 +108,7 @@
     while data[at] != 0:
         value = data[at + 2 : at + 2 + data[at + 1]]
         if len(value) != data[at + 1]:
-            raise Unreadable("optional parameter cut short")
+            raise IsupDecodeError("optional parameter cut short")
         values[data[at]] = value
         at += 2 + len(value)
     return values
