--- a/barleywheel/cli/fuzz.py
+++ b/barleywheel/cli/fuzz.py
@@ -25,33 +25,33 @@
 ENGINES = ("auto", "seeded", "hypothesis", "atheris")
 
 
-def bad(message: str) -> typer.Exit:
+def usage_error(message: str) -> typer.Exit:
     """One plain line, and exit code 2."""
     typer.echo(f"barleywheel: {message}", err=True)
     return typer.Exit(2)
 
 
-def chosen(names: list[str] | None) -> list[Target]:
+def select_targets(names: list[str] | None) -> list[Target]:
     """The targets named, or all."""
     for name in names or []:
         if name not in TARGETS:
-            raise bad(f"no target {name!r}; there are {', '.join(TARGETS)}")
+            raise usage_error(f"no target {name!r}; there are {', '.join(TARGETS)}")
     return [TARGETS[name] for name in dict.fromkeys(names or TARGETS)]
 
 
-def kept_of(target: Target, folder: Path) -> list[corpus.Kept]:
+def load_entries(target: Target, folder: Path) -> list[corpus.CorpusEntry]:
     """A target's corpus."""
     try:
         return corpus.load(folder / f"{target.name}.jsonl")
-    except corpus.BadFile as error:
-        raise bad(str(error)) from error
+    except corpus.CorpusError as error:
+        raise usage_error(str(error)) from error
 
 
 @app.command("list")
-def names() -> None:
+def list_targets() -> None:
     """Name the targets."""
     for target in TARGETS.values():
-        typer.echo(f"{target.name:10} {'scripts' if target.make else 'bytes  '}  {target.about}")
+        typer.echo(f"{target.name:10} {'scripts' if target.make else 'bytes  '}  {target.description}")
 
 
 @dataclass
@@ -66,7 +66,7 @@
     seconds: float = 0.0
     reached: int = 0
     until: float = 0.0
-    kept: list[dict[str, Any]] = field(default_factory=list)
+    entries: list[dict[str, Any]] = field(default_factory=list)
 
     def start(self, seconds: float, inputs: int, folder: Path, work: Path) -> None:
         """Start the process."""
@@ -104,51 +104,64 @@
     grow: Annotated[
         bool, typer.Option(help="Write inputs that reach something new into the corpus.")
     ] = False,
-    how: Annotated[str, typer.Option("--engine", help="auto, seeded, hypothesis or atheris.")] = "auto",
+    engine_name: Annotated[
+        str, typer.Option("--engine", help="auto, seeded, hypothesis or atheris.")
+    ] = "auto",
 ) -> None:
     """Run targets; 0 when clean, 1 on a finding, 2 on bad usage."""
-    targets = chosen(target)
-    if how not in ENGINES:
-        raise bad(f"no engine {how!r}; there are {', '.join(ENGINES)}")
+    targets = select_targets(target)
+    if engine_name not in ENGINES:
+        raise usage_error(f"no engine {engine_name!r}; there are {', '.join(ENGINES)}")
     if not seconds and not inputs:
-        raise bad("without a bound on seconds or inputs this would never end")
+        raise usage_error("without a bound on seconds or inputs this would never end")
     for one in targets:
-        if one.make is None and how == "hypothesis" or one.make is not None and how == "atheris":
-            raise bad(f"engine {how} is not for target {one.name}")
-        kept_of(one, folder)
+        if (
+            one.make is None
+            and engine_name == "hypothesis"
+            or one.make is not None
+            and engine_name == "atheris"
+        ):
+            raise usage_error(f"engine {engine_name} is not for target {one.name}")
+        load_entries(one, folder)
     # Each target gets a share of the time; with more jobs than targets, some are run twice under other seeds.
     slots = max(jobs, len(targets))
     work = [
-        Job(targets[at % len(targets)], seed + at // len(targets), "seeded" if how == "auto" else how)
+        Job(
+            targets[at % len(targets)],
+            seed + at // len(targets),
+            "seeded" if engine_name == "auto" else engine_name,
+        )
         for at in range(slots)
     ]
     share = seconds * min(jobs, slots) / slots if seconds else 0.0
-    findings = Runner(work, share, inputs, folder, found, jobs).run()
+    findings = JobRunner(work, share, inputs, folder, found, jobs).run()
     if grow:
         for one in targets:
-            _grow(one, folder, [job for job in work if job.target is one])
+            _grow_corpus(one, folder, [job for job in work if job.target is one])
     raise typer.Exit(1 if findings else 0)
 
 
-def _grow(target: Target, folder: Path, done: list[Job]) -> None:
-    kept = kept_of(target, folder)
-    before = len(kept)
-    kept += [corpus.Kept(corpus.from_json(raw), raw.get("note", "")) for job in done for raw in job.kept]
-    small = engine.minimise(target, kept)
+def _grow_corpus(target: Target, folder: Path, done: list[Job]) -> None:
+    entries = load_entries(target, folder)
+    before = len(entries)
+    entries += [
+        corpus.CorpusEntry(corpus.from_json(raw), raw.get("note", "")) for job in done for raw in job.entries
+    ]
+    small = engine.minimise(target, entries)
     corpus.save(folder / f"{target.name}.jsonl", small)
     typer.echo(f"{target.name}: {before} inputs kept before, {len(small)} now")
 
 
-class Runner:
+class JobRunner:
     """Workers side by side: their news, their findings, their ends."""
 
     def __init__(
-        self, work: list[Job], share: float, inputs: int, folder: Path, found: Path, most: int
+        self, work: list[Job], share: float, inputs: int, folder: Path, found: Path, max_jobs: int
     ) -> None:
         self.work, self.share, self.inputs = work, share, inputs
-        self.folder, self.found, self.most = folder, found, most
+        self.folder, self.found, self.max_jobs = folder, found, max_jobs
         self.findings: dict[tuple[str, str], Path] = {}
-        self.told = time.monotonic()
+        self.last_progress = time.monotonic()
 
     def run(self) -> dict[tuple[str, str], Path]:
         """Run them all; the findings by target and rule."""
@@ -157,7 +170,7 @@
         with tempfile.TemporaryDirectory() as scratch:
             try:
                 while waiting or running:
-                    while waiting and len(running) < self.most:
+                    while waiting and len(running) < self.max_jobs:
                         job = waiting.pop(0)
                         job.start(self.share, self.inputs, self.folder, Path(scratch))
                         assert job.process is not None and job.process.stdout is not None
@@ -166,16 +179,18 @@
                     for key, _ in selector.select(0.5):
                         line = key.fileobj.readline()  # type: ignore[union-attr]
                         if line:
-                            self._heard(key.data, line)
+                            self._on_line(key.data, line)
                         else:
                             selector.unregister(key.fileobj)
                             running.remove(key.data)
-                            self._ended(key.data)
+                            self._on_exit(key.data)
                     for job in running:
                         if time.monotonic() > job.until and job.process is not None:
                             job.process.kill()
-                            self._finding(job, "hangs", "an input kept a worker busy beyond its time", {})
-                    self._progress()
+                            self._record_finding(
+                                job, "hangs", "an input kept a worker busy beyond its time", {}
+                            )
+                    self._show_progress()
             finally:
                 for job in running:
                     if job.process is not None:
@@ -189,27 +204,27 @@
             )
         return self.findings
 
-    def _heard(self, job: Job, line: str) -> None:
+    def _on_line(self, job: Job, line: str) -> None:
         try:
             news = json.loads(line)
         except ValueError:
             return  # an engine's own chatter
         if "finding" in news:
-            self._finding(job, news["finding"], news["seen"], news)
+            self._record_finding(job, news["finding"], news["seen"], news)
         elif "kept" in news:
-            job.kept = news["kept"]
+            job.entries = news["kept"]
         elif "inputs" in news:
             job.inputs, job.seconds, job.reached = news["inputs"], news["seconds"], news["reached"]
 
-    def _ended(self, job: Job) -> None:
+    def _on_exit(self, job: Job) -> None:
         assert job.process is not None
         errors = job.process.stderr.read() if job.process.stderr else ""
         code = job.process.wait()
         if code and not (job.engine == "atheris" and code in (0, 77)):
             typer.echo(errors[-2000:], err=True)
-            self._finding(job, "worker died", f"exit code {code}", {})
+            self._record_finding(job, "worker died", f"exit code {code}", {})
 
-    def _finding(self, job: Job, rule: str, seen: str, news: dict[str, Any]) -> None:
+    def _record_finding(self, job: Job, rule: str, seen: str, news: dict[str, Any]) -> None:
         key = job.target.name, rule
         if key in self.findings:
             return
@@ -219,12 +234,12 @@
         if "hex" in news or "steps" in news:
             small = corpus.from_json(news)
             corpus.save_finding(path, job.target.name, rule, seen, small)
-            typer.echo(corpus.readable(small))
+            typer.echo(corpus.format_input(small))
             typer.echo(f"  after {job.seconds:.1f} s; replay: barleywheel fuzz replay {path}")
 
-    def _progress(self) -> None:
-        if time.monotonic() - self.told > 5.0 and sys.stderr.isatty():
-            self.told = time.monotonic()
+    def _show_progress(self) -> None:
+        if time.monotonic() - self.last_progress > 5.0 and sys.stderr.isatty():
+            self.last_progress = time.monotonic()
             total = sum(job.inputs for job in self.work)
             typer.echo(f"... {total} inputs, {len(self.findings)} findings", err=True)
 
@@ -237,21 +252,21 @@
         try:
             if path.suffix == ".jsonl":
                 if not path.exists():
-                    raise corpus.BadFile(f"{path}: no such file")
-                name, inputs = path.stem, [kept.input for kept in corpus.load(path)]
+                    raise corpus.CorpusError(f"{path}: no such file")
+                name, inputs = path.stem, [entry.input for entry in corpus.load(path)]
             else:
                 name, _, one = corpus.load_finding(path)
                 inputs = [one]
-        except corpus.BadFile as error:
-            raise bad(str(error)) from error
+        except corpus.CorpusError as error:
+            raise usage_error(str(error)) from error
         if name not in TARGETS:
-            raise bad(f"{path}: no target {name!r}")
+            raise usage_error(f"{path}: no target {name!r}")
         for one in inputs:
             count += 1
-            breaches, _ = TARGETS[name].check(one)
-            if breaches:
+            violations, _ = TARGETS[name].check(one)
+            if violations:
                 broken += 1
-                typer.echo(f"{name}: {breaches[0].rule}: {breaches[0].seen}\n{corpus.readable(one)}")
+                typer.echo(f"{name}: {violations[0].rule}: {violations[0].seen}\n{corpus.format_input(one)}")
     typer.echo(f"{count} inputs, {broken} break a rule")
     raise typer.Exit(1 if broken else 0)
 
@@ -264,16 +279,18 @@
     jobs: Annotated[int, typer.Option(min=1, help="Processes at a time.")] = 4,
 ) -> None:
     """Plant faults of one line in copies of the program; 0 when all are found, 1 when one is not."""
-    known = {one.name: one for one in plants.PLANTS}
+    by_name = {one.name: one for one in plants.PLANTED_FAULTS}
     for word in name or []:
-        if word not in known:
-            raise bad(f"no plant {word!r}; there are {', '.join(known)}")
+        if word not in by_name:
+            raise usage_error(f"no plant {word!r}; there are {', '.join(by_name)}")
     missed = 0
     try:
-        for done in plants.all_sought([known[word] for word in name or known], seconds, seed, jobs):
+        for done in plants.run_planted_faults(
+            [by_name[word] for word in name or by_name], seconds, seed, jobs
+        ):
             missed += not done.rule
             found = f"{done.seconds:5.1f} s, {done.inputs} inputs: {done.rule}" if done.rule else "NOT FOUND"
-            typer.echo(f"{done.plant.name:42} {done.plant.target:10} {found}")
-    except plants.Stale as error:
-        raise bad(str(error)) from error
+            typer.echo(f"{done.fault.name:42} {done.fault.target:10} {found}")
+    except plants.StaleQuoteError as error:
+        raise usage_error(str(error)) from error
     raise typer.Exit(1 if missed else 0)
--- a/barleywheel/fuzz/codecs.py
+++ b/barleywheel/fuzz/codecs.py
@@ -11,23 +11,23 @@
 from collections.abc import Callable
 from typing import Any
 
-from barleywheel.fuzz.rules import Breach
+from barleywheel.fuzz.rules import Violation
 from barleywheel.net.buffer import Buffer
 from barleywheel.wire import Malformed, isup, jsonlines, m3ua, sip
 
-WORK = 16  # bytes looked at or copied for each byte that came, and so many more in all:
-WORK_FREE = 64 * 1024
-Cut = Callable[[Buffer], Any]
+WORK_PER_BYTE = 16  # bytes looked at or copied for each byte that came, and so many more in all:
+WORK_ALLOWANCE = 64 * 1024
+CutFunction = Callable[[Buffer], Any]
 
 
-class Metered(Buffer):
+class MeteredBuffer(Buffer):
     """A buffer that counts the bytes that its users look at or copy."""
 
     def __init__(self) -> None:
         super().__init__()
         self.work = 0
 
-    def put(self, data: bytes) -> None:
+    def append(self, data: bytes) -> None:
         """What a socket would have read in."""
         while data:
             self.reserve()
@@ -50,11 +50,11 @@
         return found
 
 
-def feed(cut: Cut, pieces: list[bytes]) -> tuple[list[str], str, int]:
+def parse_all(cut: CutFunction, pieces: list[bytes]) -> tuple[list[str], str, int]:
     """Messages as text, how it ended ("" or the fault), and the work."""
-    buffer, found = Metered(), []
+    buffer, found = MeteredBuffer(), []
     for piece in pieces:
-        buffer.put(piece)
+        buffer.append(piece)
         try:
             while (message := cut(buffer)) is not None:
                 found.append(repr(message))
@@ -65,7 +65,7 @@
     return found, "", buffer.work
 
 
-def split(data: bytes) -> list[bytes]:
+def split_pieces(data: bytes) -> list[bytes]:
     """Pieces by the bytes themselves, a hundred or so of what is long: an input always has the same split."""
     pieces, at, seed, most = [], 0, zlib.crc32(data), max(37, len(data) // 64)
     while at < len(data):
@@ -76,63 +76,68 @@
     return pieces
 
 
-def stream(cut: Cut, data: bytes, looks_ahead: bool = False) -> list[Breach]:
+def check_stream(cut: CutFunction, data: bytes, looks_ahead: bool = False) -> list[Violation]:
     """What must hold of a parser of a stream.
 
     One that looks ahead may refuse a message for what stands behind it, which it can't where that has not
     come: then the messages of the one are the first of the other, and one of them is refused.
     """
-    whole, fault, work = feed(cut, [data])
-    breaches = []
+    whole, fault, work = parse_all(cut, [data])
+    violations = []
     if fault not in ("", "Malformed"):
-        breaches.append(Breach("parser raised", fault))
+        violations.append(Violation("parser raised", fault))
     # Byte by byte only what is short: pieces of a few bytes show as well what is done again for each.
-    for pieces in (split(data), [data[at : at + 1] for at in range(len(data) if len(data) <= 600 else 0)]):
+    for pieces in (
+        split_pieces(data),
+        [data[at : at + 1] for at in range(len(data) if len(data) <= 600 else 0)],
+    ):
         if data and not pieces:
             continue
-        other, other_fault, work = feed(cut, pieces)
+        other, other_fault, work = parse_all(cut, pieces)
         ends = {fault, other_fault}
         if looks_ahead and "Malformed" in ends and ends <= {"", "Malformed"}:
             shorter, longer = sorted((whole, other), key=len)
             if longer[: len(shorter)] == shorter:
                 continue
         if other != whole or other_fault != fault:
-            breaches.append(
-                Breach("depends on the split", f"{whole} {fault} whole, {other} {other_fault} split")
+            violations.append(
+                Violation("depends on the split", f"{whole} {fault} whole, {other} {other_fault} split")
             )
             break
-        if work > WORK * len(data) + WORK_FREE:
-            breaches.append(Breach("work", f"{work} bytes looked at for {len(data)} in {len(pieces)} pieces"))
+        if work > WORK_PER_BYTE * len(data) + WORK_ALLOWANCE:
+            violations.append(
+                Violation("work", f"{work} bytes looked at for {len(data)} in {len(pieces)} pieces")
+            )
             break
-    return breaches
+    return violations
 
 
-def check_jsonlines(data: bytes) -> list[Breach]:
+def check_jsonlines(data: bytes) -> list[Violation]:
     """The callers' wire."""
-    breaches = stream(jsonlines.cut, data)
-    buffer = Metered()
+    violations = check_stream(jsonlines.cut, data)
+    buffer = MeteredBuffer()
     body = data[:4000]
     line = jsonlines.encode("up", "9b1f03aa00000001", description=body)
-    buffer.put(line)
+    buffer.append(line)
     try:
         message = jsonlines.cut(buffer) if len(line) <= jsonlines.LIMIT else None
     except Malformed as error:
-        return [*breaches, Breach("not decoded again", str(error))]
+        return [*violations, Violation("not decoded again", str(error))]
     if message is not None and jsonlines.description(message) != body:
-        breaches.append(Breach("not decoded again", f"{jsonlines.description(message)!r} for {body!r}"))
-    buffer = Metered()
-    buffer.put(data)
+        violations.append(Violation("not decoded again", f"{jsonlines.description(message)!r} for {body!r}"))
+    buffer = MeteredBuffer()
+    buffer.append(data)
     try:
         while (message := jsonlines.cut(buffer)) is not None:
-            breaches += _request(message)
+            violations += _request(message)
     except Malformed:
         pass
     except Exception as error:
-        breaches.append(Breach("request raised", f"{type(error).__name__}: {error}"))
-    return breaches
+        violations.append(Violation("request raised", f"{type(error).__name__}: {error}"))
+    return violations
 
 
-def _request(message: dict[str, Any]) -> list[Breach]:
+def _request(message: dict[str, Any]) -> list[Violation]:
     from barleywheel.fronts.platform import NUMBER, REF, read_request
 
     if message["t"] != "new" or not REF.match(message.get("ref", "")):
@@ -141,11 +146,11 @@
     if request.destination >= 0 and request.left_us > 0:
         data = sip.invite(request.ref, 1, request.number, "voice", 1, request.description)
         if not NUMBER.match(request.number) or not 0 < request.width <= 64 or len(data) > sip.LIMIT:
-            return [Breach("request", repr(request)[:300])]
+            return [Violation("request", repr(request)[:300])]
     return []
 
 
-def check_sip(data: bytes) -> list[Breach]:
+def check_sip(data: bytes) -> list[Violation]:
     """The hubs' wire."""
 
     def cut(buffer: Buffer) -> Any:
@@ -159,16 +164,16 @@
             return message, message.load, sip.response(200, "OK", message)
         return None
 
-    breaches = stream(cut, data, looks_ahead=True)
-    buffer = Metered()
-    buffer.put(sip.invite("9b1f03aa00000001", 1, "7f3a", "voice", 1, data[:8000]))
+    violations = check_stream(cut, data, looks_ahead=True)
+    buffer = MeteredBuffer()
+    buffer.append(sip.invite("9b1f03aa00000001", 1, "7f3a", "voice", 1, data[:8000]))
     again = sip.head(buffer.peek(buffer.find(b"\r\n\r\n")))
     if again.headers["content-length"] != str(len(data[:8000])):
-        breaches.append(Breach("not decoded again", repr(again)))
-    return breaches
+        violations.append(Violation("not decoded again", repr(again)))
+    return violations
 
 
-def check_m3ua(data: bytes) -> list[Breach]:
+def check_m3ua(data: bytes) -> list[Violation]:
     """The exchanges' wire, and the ISUP in it."""
 
     def cut(buffer: Buffer) -> Any:
@@ -182,17 +187,17 @@
                 inner = isup.decode(transfer.user)
             except isup.Unreadable:
                 inner = "unreadable"
-            again = Metered()
-            again.put(m3ua.data(transfer, 1)) if len(transfer.user) < 8000 else None
+            again = MeteredBuffer()
+            again.append(m3ua.data(transfer, 1)) if len(transfer.user) < 8000 else None
             back = m3ua.cut(again)
             if back is not None and m3ua.transferred(back) != transfer:
                 raise ArithmeticError(f"not decoded again: {transfer}")
         return message, message.points(), [message.number(tag) for tag in m3ua.Tag], inner
 
-    return stream(cut, data)
+    return check_stream(cut, data)
 
 
-def check_isup(data: bytes) -> list[Breach]:
+def check_isup(data: bytes) -> list[Violation]:
     """One ISUP message: of these bytes, and one made of them that must come through whole."""
     kinds = tuple(isup.Type)
     made = isup.Message(len(data) & 0xFFF, kinds[len(data) % len(kinds)])
@@ -205,15 +210,15 @@
     try:
         again = isup.decode(isup.encode(made))
     except isup.Unreadable as error:
-        return [Breach("not decoded again", f"{made}: {error}")]
+        return [Violation("not decoded again", f"{made}: {error}")]
     if again != made:
-        return [Breach("not decoded again", f"{again} for {made}")]
+        return [Violation("not decoded again", f"{again} for {made}")]
     try:
         message = isup.decode(data)
     except isup.Unreadable:
         return []
     except Exception as error:
-        return [Breach("parser raised", f"{type(error).__name__}: {error}")]
+        return [Violation("parser raised", f"{type(error).__name__}: {error}")]
     try:
         encoded = isup.encode(message)
     except ValueError:  # what this wire has no room for
@@ -221,7 +226,7 @@
     try:
         back = isup.decode(encoded)
     except isup.Unreadable as error:
-        return [Breach("not decoded again", f"{message}: {error}")]
+        return [Violation("not decoded again", f"{message}: {error}")]
     if message.type in tuple(isup.Type) and back != message:
-        return [Breach("not decoded again", f"{back} for {message}")]
+        return [Violation("not decoded again", f"{back} for {message}")]
     return []
--- a/barleywheel/fuzz/corpus.py
+++ b/barleywheel/fuzz/corpus.py
@@ -10,15 +10,15 @@
 from barleywheel.fuzz.shrink import Input
 
 VERSION = 1
-MOST = 2 * 1024 * 1024  # bytes of a file; more is no corpus of ours
+MAX_FILE_BYTES = 2 * 1024 * 1024  # bytes of a file; more is no corpus of ours
 
 
-class BadFile(Exception):
+class CorpusError(Exception):
     """The file is no corpus, or of another version."""
 
 
 @dataclass(frozen=True)
-class Kept:
+class CorpusEntry:
     """An input, and why it is kept."""
 
     input: Input
@@ -31,7 +31,7 @@
 
 
 def from_json(raw: dict[str, Any]) -> Input:
-    """An input from JSON; BadFile where it is none."""
+    """An input from JSON; CorpusError where it is none."""
     try:
         if "hex" in raw:
             return bytes.fromhex(raw["hex"])
@@ -39,43 +39,43 @@
         if not isinstance(steps, list) or not all(
             isinstance(step, list) and step and isinstance(step[0], str) for step in steps
         ):
-            raise BadFile("steps are no list of steps")
+            raise CorpusError("steps are no list of steps")
         return steps
     except (KeyError, TypeError, ValueError) as error:
-        raise BadFile(f"no input: {type(error).__name__}: {error}") from error
+        raise CorpusError(f"no input: {type(error).__name__}: {error}") from error
 
 
-def load(path: Path) -> list[Kept]:
+def load(path: Path) -> list[CorpusEntry]:
     """A corpus file's inputs; none where there is no such file."""
     if not path.exists():
         return []
-    return [Kept(from_json(raw), str(raw.get("note", ""))) for raw in _lines(path)]
+    return [CorpusEntry(from_json(raw), str(raw.get("note", ""))) for raw in _read_objects(path)]
 
 
-def _lines(path: Path) -> list[dict[str, Any]]:
+def _read_objects(path: Path) -> list[dict[str, Any]]:
     try:
-        if path.stat().st_size > MOST:
-            raise BadFile(f"{path}: over {MOST} bytes")
+        if path.stat().st_size > MAX_FILE_BYTES:
+            raise CorpusError(f"{path}: over {MAX_FILE_BYTES} bytes")
         text = path.read_text()
         found = [json.loads(line) for line in text.splitlines() if line.strip()]
     except (OSError, ValueError) as error:
-        raise BadFile(f"{path}: {error}") from error
+        raise CorpusError(f"{path}: {error}") from error
     for raw in found:
         if not isinstance(raw, dict):
-            raise BadFile(f"{path}: a line is no object")
+            raise CorpusError(f"{path}: a line is no object")
         if raw.get("version") != VERSION:
-            raise BadFile(f"{path}: version {raw.get('version')!r}, {VERSION} is read here")
+            raise CorpusError(f"{path}: version {raw.get('version')!r}, {VERSION} is read here")
     return found
 
 
-def save(path: Path, kept: list[Kept]) -> None:
+def save(path: Path, entries: list[CorpusEntry]) -> None:
     """Write a corpus file, in place of what was there."""
     lines = [
         json.dumps(
-            {"version": VERSION, **({"note": one.note} if one.note else {}), **to_json(one.input)},
+            {"version": VERSION, **({"note": entry.note} if entry.note else {}), **to_json(entry.input)},
             separators=(",", ":"),
         )
-        for one in kept
+        for entry in entries
     ]
     path.parent.mkdir(parents=True, exist_ok=True)
     path.write_text("".join(line + "\n" for line in lines))
@@ -93,14 +93,14 @@
 def load_finding(path: Path) -> tuple[str, str, Input]:
     """A finding's target, rule and input."""
     if not path.exists():
-        raise BadFile(f"{path}: no such file")
-    lines = _lines(path)
+        raise CorpusError(f"{path}: no such file")
+    lines = _read_objects(path)
     if len(lines) != 1 or not isinstance(lines[0].get("target"), str):
-        raise BadFile(f"{path}: no finding")
+        raise CorpusError(f"{path}: no finding")
     return lines[0]["target"], str(lines[0].get("rule", "")), from_json(lines[0])
 
 
-def readable(found: Input) -> str:
+def format_input(found: Input) -> str:
     """An input as a person reads it."""
     if isinstance(found, bytes):
         return f"{len(found)} bytes: {found[:200]!r}"
--- a/barleywheel/fuzz/engine.py
+++ b/barleywheel/fuzz/engine.py
@@ -7,15 +7,16 @@
 from dataclasses import dataclass, field
 from typing import Any, cast
 
-from barleywheel.fuzz.corpus import Kept
-from barleywheel.fuzz.rules import Breach
+from barleywheel.fuzz.corpus import CorpusEntry
+from barleywheel.fuzz.rules import Violation
 from barleywheel.fuzz.shrink import Input, shrink
-from barleywheel.fuzz.source import FromHypothesis, Seeded, pick
+from barleywheel.fuzz.source import HypothesisSource, SeededSource, pick
 from barleywheel.fuzz.targets import Target
 
-MOST_BYTES = 20_000
-THOROUGH = 8  # every so many'th script is followed by the long spell in which all must be well again
-MUTATE = 2  # every so many'th input is new; the others are kept ones, changed
+MAX_INPUT_BYTES = 20_000
+# Every so many'th script is followed by the long spell in which all must be well again.
+FULL_CHECK_INTERVAL = 8
+NEW_INPUT_INTERVAL = 2  # every so many'th input is new; the others are kept ones, changed
 
 
 @dataclass(frozen=True)
@@ -29,13 +30,13 @@
 
 
 @dataclass
-class Reached:
+class FuzzProgress:
     """How many inputs, and what they reached."""
 
     inputs: int = 0
     seconds: float = 0.0
     features: dict[str, int] = field(default_factory=dict)
-    kept: list[Kept] = field(default_factory=list)
+    entries: list[CorpusEntry] = field(default_factory=list)
     findings: dict[str, Finding] = field(default_factory=dict)
 
 
@@ -44,26 +45,26 @@
     return {f"{name} x{1 << (count.bit_length() - 1)}" for name, count in reached.items() if count > 0}
 
 
-class Fuzzing:
+class FuzzSession:
     """One target under the seeded engine: new inputs, and changes of those that reached something new."""
 
-    def __init__(self, target: Target, seed: int, corpus: list[Kept]) -> None:
-        self.target, self.done = target, Reached()
-        self.source = Seeded(f"{target.name} {seed}")
-        self.first: list[Input] = [kept.input for kept in corpus] + list(target.seeds)
-        self.pool: list[Input] = list(self.first)
+    def __init__(self, target: Target, seed: int, corpus: list[CorpusEntry]) -> None:
+        self.target, self.progress = target, FuzzProgress()
+        self.source = SeededSource(f"{target.name} {seed}")
+        self.queue: list[Input] = [entry.input for entry in corpus] + list(target.seeds)
+        self.pool: list[Input] = list(self.queue)
 
-    def next(self) -> Input:
+    def next_input(self) -> Input:
         """The next input: the corpus first."""
-        if self.first:
-            return self.first.pop(0)
+        if self.queue:
+            return self.queue.pop(0)
         if self.target.make is None:
-            return self._bytes()
-        if not self.pool or self.source.below(MUTATE) == 0:
+            return self._mutate_bytes()
+        if not self.pool or self.source.below(NEW_INPUT_INTERVAL) == 0:
             return self.target.make(self.source)
-        return self._steps()
+        return self._mutate_steps()
 
-    def _steps(self) -> Input:
+    def _mutate_steps(self) -> Input:
         """Some steps of one script, and of another; some of them twice, some gone."""
         assert self.target.make is not None
         source = self.source
@@ -85,7 +86,7 @@
                     old[at], old[to] = old[to], old[at]
         return old[:80]
 
-    def _bytes(self) -> bytes:
+    def _mutate_bytes(self) -> bytes:
         source, words = self.source, self.target.words
         pool = cast(list[bytes], self.pool)
         data = bytearray(pick(source, pool))
@@ -114,64 +115,64 @@
                     data[at:end] = pick(source, words)
                 case _ if data:
                     data[min(at, len(data) - 1)] ^= 1 << source.below(8)
-        return bytes(data[:MOST_BYTES])
+        return bytes(data[:MAX_INPUT_BYTES])
 
-    def one(self) -> Breach | None:
+    def run_one(self) -> Violation | None:
         """Run one input; the first breach of a rule that was not yet found broken, shrunk and noted."""
-        found = self.next()
-        glance = self.target.glance if self.done.inputs % THOROUGH else None
-        breaches, reached = glance(found) if glance else self.target.check(found)
-        self.done.inputs += 1
-        new = [name for name in features(reached) if name not in self.done.features]
+        found = self.next_input()
+        quick_check = self.target.quick_check if self.progress.inputs % FULL_CHECK_INTERVAL else None
+        violations, reached = quick_check(found) if quick_check else self.target.check(found)
+        self.progress.inputs += 1
+        new = [name for name in features(reached) if name not in self.progress.features]
         for name in new:
-            self.done.features[name] = 1
-        if new and not breaches:
+            self.progress.features[name] = 1
+        if new and not violations:
             self.pool.append(found)
-            self.done.kept.append(Kept(found, new[0]))
-        for breach in breaches[:1]:
-            if breach.rule not in self.done.findings:
-                self.done.findings[breach.rule] = smallest(self.target, found, breach)
-                return breach
+            self.progress.entries.append(CorpusEntry(found, new[0]))
+        for violation in violations[:1]:
+            if violation.rule not in self.progress.findings:
+                self.progress.findings[violation.rule] = shrink_finding(self.target, found, violation)
+                return violation
         return None
 
-    def run(self, seconds: float, inputs: int, tell: Callable[[Reached], None]) -> Reached:
-        """Run for so long, or for so many inputs (0: no bound); ``tell`` hears twice a second."""
-        start = told = time.monotonic()
-        while (not inputs or self.done.inputs < inputs) and (
+    def run(self, seconds: float, inputs: int, report: Callable[[FuzzProgress], None]) -> FuzzProgress:
+        """Run for so long, or for so many inputs (0: no bound); ``report`` hears twice a second."""
+        start = last_report = time.monotonic()
+        while (not inputs or self.progress.inputs < inputs) and (
             not seconds or time.monotonic() - start < seconds
         ):
-            self.one()
-            self.done.seconds = time.monotonic() - start
-            if time.monotonic() - told > 0.5:
-                told = time.monotonic()
-                tell(self.done)
-        tell(self.done)
-        return self.done
+            self.run_one()
+            self.progress.seconds = time.monotonic() - start
+            if time.monotonic() - last_report > 0.5:
+                last_report = time.monotonic()
+                report(self.progress)
+        report(self.progress)
+        return self.progress
 
 
-def breaks(target: Target, rule: str) -> Callable[[Input], bool]:
+def violates(target: Target, rule: str) -> Callable[[Input], bool]:
     """Whether an input breaks that rule first."""
 
     def fails(found: Input) -> bool:
-        breaches, _ = target.check(found)
-        return bool(breaches) and breaches[0].rule == rule
+        violations, _ = target.check(found)
+        return bool(violations) and violations[0].rule == rule
 
     return fails
 
 
-def smallest(target: Target, found: Input, breach: Breach, seconds: float = 20.0) -> Finding:
+def shrink_finding(target: Target, found: Input, violation: Violation, seconds: float = 20.0) -> Finding:
     """A finding, its input made small."""
-    small = shrink(found, breaks(target, breach.rule), seconds)
-    breaches, _ = target.check(small)
-    seen = breaches[0].seen if breaches else breach.seen
-    return Finding(target.name, breach.rule, seen, small)
+    small = shrink(found, violates(target, violation.rule), seconds)
+    violations, _ = target.check(small)
+    seen = violations[0].seen if violations else violation.seen
+    return Finding(target.name, violation.rule, seen, small)
 
 
-def minimise(target: Target, kept: list[Kept]) -> list[Kept]:
+def minimise(target: Target, entries: list[CorpusEntry]) -> list[CorpusEntry]:
     """Those that reach something which no smaller one reaches, and the findings and hard cases."""
     seen: set[str] = set()
     chosen = []
-    for one in sorted(kept, key=lambda one: (not one.note.startswith("finding"), len(str(one.input)))):
+    for one in sorted(entries, key=lambda one: (not one.note.startswith("finding"), len(str(one.input)))):
         _, reached = target.check(one.input)
         new = features(reached) - seen
         if new or one.note.startswith(("finding", "hard case")):
@@ -188,19 +189,19 @@
     assert target.make is not None
     make, until, count, last = target.make, time.monotonic() + seconds, 0, {}
 
-    class Over(BaseException):
+    class TimeLimitReached(BaseException):
         """The time is over."""
 
     def body(data: Any) -> None:
         nonlocal count
         if time.monotonic() > until:
-            raise Over
-        found = make(FromHypothesis(data, strategies.integers))
-        breaches, _ = target.check(found)
+            raise TimeLimitReached
+        found = make(HypothesisSource(data, strategies.integers))
+        violations, _ = target.check(found)
         count += 1
-        if breaches:
-            last[breaches[0].rule] = Finding(target.name, breaches[0].rule, breaches[0].seen, found)
-            raise AssertionError(breaches[0].rule)
+        if violations:
+            last[violations[0].rule] = Finding(target.name, violations[0].rule, violations[0].seen, found)
+            raise AssertionError(violations[0].rule)
 
     test = hypothesis.seed(seed)(
         hypothesis.settings(
@@ -213,7 +214,7 @@
     )
     try:
         test()
-    except (Over, AssertionError):
+    except (TimeLimitReached, AssertionError):
         pass
     yield count
     yield from last.values()
--- a/barleywheel/fuzz/module.py
+++ b/barleywheel/fuzz/module.py
@@ -9,17 +9,17 @@
 
 from barleywheel import interface as api
 from barleywheel.brain import ENGAGED_KEPT, Controller
-from barleywheel.fuzz.rules import Breach
-from barleywheel.fuzz.source import Source, pick, weighted
+from barleywheel.fuzz.rules import Violation
+from barleywheel.fuzz.source import Source, pick, pick_weighted
 
 Step = list[Any]
 START_US = 100_000_000
-CELLS, MOST_STEPS = 5, 60
+CELL_COUNT, MAX_STEPS = 5, 60
 WAITS_US = (0, 1, 1000, 10_000, 90_000, 300_000, 700_000, 1_000_000, 1_500_000, 5_000_000)
-LEFTS_US = (0, 1, 9_999, 10_001, 100_000, 800_000, 3_000_000, 9_000_000)
-GUARDED = (api.Outcome.TIMEOUT, api.Outcome.RESET, api.Outcome.CANCELLED)
-ENDS = tuple(outcome for outcome in api.Outcome if outcome is not api.Outcome.OK)
-FIGURES = (-1.0, 0.0, 0.5, 1.0, 3.0, 20.0, 1e5, 1e300, float("nan"), float("inf"))
+TIMES_LEFT_US = (0, 1, 9_999, 10_001, 100_000, 800_000, 3_000_000, 9_000_000)
+GUARDED_OUTCOMES = (api.Outcome.TIMEOUT, api.Outcome.RESET, api.Outcome.CANCELLED)
+FAILED_OUTCOMES = tuple(outcome for outcome in api.Outcome if outcome is not api.Outcome.OK)
+LOAD_VALUES = (-1.0, 0.0, 0.5, 1.0, 3.0, 20.0, 1e5, 1e300, float("nan"), float("inf"))
 
 
 def settings() -> api.Settings:
@@ -43,22 +43,22 @@
     )
 
 
-def _offer(source: Source) -> Step:
-    return [1 + source.below(CELLS), source.below(2), pick(source, LEFTS_US), source.below(8)]
+def _offer_step(source: Source) -> Step:
+    return [1 + source.below(CELL_COUNT), source.below(2), pick(source, TIMES_LEFT_US), source.below(8)]
 
 
-MAKERS: dict[str, Callable[[Source], Step]] = {
-    "offer": _offer,
+STEP_MAKERS: dict[str, Callable[[Source], Step]] = {
+    "offer": _offer_step,
     "stands": lambda s: [s.below(4), pick(s, WAITS_US)],
-    "end": lambda s: [s.below(4), s.below(len(ENDS)), s.below(5), s.below(2)],
+    "end": lambda s: [s.below(4), s.below(len(FAILED_OUTCOMES)), s.below(5), s.below(2)],
     "gone": lambda s: [s.below(4)],
-    "load": lambda s: [s.below(CELLS), *(s.below(len(FIGURES)) for _ in range(4))],
-    "list": lambda s: [s.below(4), s.below(CELLS), s.below(3), s.below(3)],
-    "report": lambda s: [s.below(CELLS), s.below(11), s.below(64)],
-    "stale": lambda s: [s.below(4), s.below(len(ENDS))],
+    "load": lambda s: [s.below(CELL_COUNT), *(s.below(len(LOAD_VALUES)) for _ in range(4))],
+    "list": lambda s: [s.below(4), s.below(CELL_COUNT), s.below(3), s.below(3)],
+    "report": lambda s: [s.below(CELL_COUNT), s.below(11), s.below(64)],
+    "stale": lambda s: [s.below(4), s.below(len(FAILED_OUTCOMES))],
     "wait": lambda s: [pick(s, WAITS_US)],
 }
-WEIGHTS = (
+STEP_WEIGHTS = (
     (8, "offer"),
     (5, "stands"),
     (8, "end"),
@@ -71,17 +71,17 @@
 )
 
 
-def make(source: Source, most: int = MOST_STEPS) -> list[Step]:
+def make_script(source: Source, max_steps: int = MAX_STEPS) -> list[Step]:
     """A script made up."""
     steps: list[Step] = []
-    for _ in range(1 + source.below(most)):
-        kind = weighted(source, WEIGHTS)
-        steps.append([kind, *MAKERS[kind](source)])
+    for _ in range(1 + source.below(max_steps)):
+        kind = pick_weighted(source, STEP_WEIGHTS)
+        steps.append([kind, *STEP_MAKERS[kind](source)])
     return steps
 
 
 @dataclass(eq=False)
-class Open:
+class OpenCall:
     """A call offered and not yet answered."""
 
     number: int
@@ -93,113 +93,113 @@
 
 
 @dataclass
-class Play:
+class ControllerScriptRunner:
     """One script against one controller."""
 
     seed: int = 1
-    breaches: list[Breach] = field(default_factory=list)
+    violations: list[Violation] = field(default_factory=list)
     counts: dict[str, int] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
         self.now = START_US
         self.settings = settings()
-        self.module = Controller(self.settings, self.seed)
-        self.calls: dict[int, Open] = {}
+        self.controller = Controller(self.settings, self.seed)
+        self.calls: dict[int, OpenCall] = {}
         self.timers: list[tuple[int, int]] = []
-        self.listed: dict[bytes, api.State] = {}
+        self.states: dict[bytes, api.State] = {}
         self.number = 0
-        entries = [api.Entry(self.name(cell), cell) for cell in range(CELLS + 1)]
-        self.tell(api.Discovery(api.ListMode.CACHED, entries))
-        for cell in range(1, CELLS + 1):
-            self.tell(
+        entries = [api.Entry(self.exchange_id(cell), cell) for cell in range(CELL_COUNT + 1)]
+        self.handle_event(api.Discovery(api.ListMode.CACHED, entries))
+        for cell in range(1, CELL_COUNT + 1):
+            self.handle_event(
                 api.LoadSeen(
-                    self.name(cell), api.Outcome.OK, 0, api.Load(free_circuits=20.0, group_size=20.0)
+                    self.exchange_id(cell), api.Outcome.OK, 0, api.Load(free_circuits=20.0, group_size=20.0)
                 )
             )
 
-    def name(self, cell: int, other: int = 0) -> bytes:
+    def exchange_id(self, cell: int, other: int = 0) -> bytes:
         """An exchange's id."""
         return b"x%d.%d" % (cell, other)
 
-    def breach(self, rule: str, seen: str) -> None:
+    def add_violation(self, rule: str, seen: str) -> None:
         """Note a breach."""
-        self.breaches.append(Breach(rule, f"at {(self.now - START_US) / 1e6:.6f} s: {seen}"))
+        self.violations.append(Violation(rule, f"at {(self.now - START_US) / 1e6:.6f} s: {seen}"))
 
-    def tell(self, event: api.Event) -> None:
+    def handle_event(self, event: api.Event) -> None:
         """One event, and what must hold of each action."""
         if isinstance(event, api.Discovery) and event.mode is not api.ListMode.FAILED:
             if event.mode is not api.ListMode.DELTA:
-                self.listed = {}
+                self.states = {}
             for entry in event.entries:
-                self.listed[entry.exchange] = entry.state
-        for action in self.module.handle(self.now, event):
+                self.states[entry.exchange] = entry.state
+        for action in self.controller.handle(self.now, event):
             self.counts[type(action).__name__] = self.counts.get(type(action).__name__, 0) + 1
             match action:
                 case api.SetUp():
-                    self._sent(action)
+                    self._on_setup(action)
                 case api.Refuse() | api.Fail():
                     if self.calls.pop(action.call, None) is None:
-                        self.breach("second answer", f"{action} for a call that is not open")
+                        self.add_violation("second answer", f"{action} for a call that is not open")
                     elif isinstance(action, api.Refuse) and not (
                         0 <= action.retry_after_us <= self.settings.max_retry_after_us
                     ):
-                        self.breach("advice", f"{action}")
+                        self.add_violation("advice", f"{action}")
                 case api.Cancel():
                     call = self.calls.get(action.call)
                     if call is None or call.out is None or action.attempt != call.attempts - 1:
-                        self.breach("cancel", f"{action}: nothing of that is out")
+                        self.add_violation("cancel", f"{action}: nothing of that is out")
                     else:
                         call.out = None
                 case api.SetTimer():
                     heapq.heappush(self.timers, (action.due_us, action.token))
 
-    def _sent(self, action: api.SetUp) -> None:
+    def _on_setup(self, action: api.SetUp) -> None:
         call = self.calls.get(action.call)
         if call is None:
-            return self.breach("set-up of nobody's", f"{action}")
+            return self.add_violation("set-up of nobody's", f"{action}")
         if call.out is not None:
-            self.breach("two attempts out", f"{action} while one is out at {call.out!r}")
+            self.add_violation("two attempts out", f"{action} while one is out at {call.out!r}")
         if self.now < call.guard_us:
-            self.breach("guard", f"{action} {call.guard_us - self.now} us too soon")
-        if self.listed.get(action.exchange) is not api.State.READY:
-            self.breach("drain", f"{action}: the list says {self.listed.get(action.exchange)}")
+            self.add_violation("guard", f"{action} {call.guard_us - self.now} us too soon")
+        if self.states.get(action.exchange) is not api.State.READY:
+            self.add_violation("drain", f"{action}: the list says {self.states.get(action.exchange)}")
         cell = int(action.exchange[1:].split(b".")[0])
         if cell == 0 or call.offer.in_transit and cell != call.offer.destination:
-            self.breach("route", f"{action} for {call.offer.destination}")
+            self.add_violation("route", f"{action} for {call.offer.destination}")
         if action.limit_us <= 0 or self.now + action.limit_us > call.due_us:
-            self.breach("limit", f"{action}, {call.due_us - self.now} us are left")
+            self.add_violation("limit", f"{action}, {call.due_us - self.now} us are left")
         call.out, call.attempts = action.exchange, call.attempts + 1
         if call.attempts > (self.settings.attempts or 99):
-            self.breach("attempts", f"{action}: the {call.attempts}th")
+            self.add_violation("attempts", f"{action}: the {call.attempts}th")
 
-    def run(self, steps: list[Step]) -> list[Breach]:
+    def run(self, steps: list[Step]) -> list[Violation]:
         """Play a script and a quiet spell behind it."""
         try:
             for step in steps:
                 getattr(self, f"do_{step[0]}")(*step[1:])
-                if self.breaches:
-                    return self.breaches
+                if self.violations:
+                    return self.violations
             for number in list(self.calls):
-                self.tell(api.CallerGone(number))
+                self.handle_event(api.CallerGone(number))
                 self.calls.pop(number, None)
             self.do_wait(40_000_000)
         except Exception as error:
-            self.breach("module raised", f"{type(error).__name__}: {error}")
-            return self.breaches
-        module = self.module
+            self.add_violation("module raised", f"{type(error).__name__}: {error}")
+            return self.violations
+        controller = self.controller
         tables = {
-            "calls": module.calls,
-            "set-ups out": [n for x in module.exchanges.values() for n in x.waiting],
-            "timers": [None] * (len(module.timers) - 1),
-            "exchanges": [None] * (len(module.exchanges) - len(self.listed)),
-            "engaged numbers": [None] * (len(module.engaged) - ENGAGED_KEPT),
+            "calls": controller.calls,
+            "set-ups out": [n for x in controller.exchanges.values() for n in x.waiting],
+            "timers": [None] * (len(controller.timers) - 1),
+            "exchanges": [None] * (len(controller.exchanges) - len(self.states)),
+            "engaged numbers": [None] * (len(controller.engaged) - ENGAGED_KEPT),
         }
         for name, table in tables.items():
             if table:
-                self.breach("table not empty", f"{name}: {len(table)}")
-        return self.breaches
+                self.add_violation("table not empty", f"{name}: {len(table)}")
+        return self.violations
 
-    def _call(self, which: int, out: bool) -> Open | None:
+    def _pick_call(self, which: int, out: bool) -> OpenCall | None:
         found = [call for call in self.calls.values() if (call.out is not None) == out or not out]
         return found[-1 - which % len(found)] if found else None
 
@@ -217,22 +217,22 @@
             cut_before=bool(flags & 4),
             source=3 if flags & 2 else None,
         )
-        self.calls[self.number] = Open(self.number, offer, self.now + left_us)
-        self.tell(offer)
+        self.calls[self.number] = OpenCall(self.number, offer, self.now + left_us)
+        self.handle_event(offer)
 
     def do_stands(self, which: int, took_us: int) -> None:
         """An attempt's call stands."""
-        if (call := self._call(which, True)) is not None and call.out is not None:
+        if (call := self._pick_call(which, True)) is not None and call.out is not None:
             del self.calls[call.number]
-            self.tell(api.CallStands(call.number, call.attempts - 1, call.out, took_us))
+            self.handle_event(api.CallStands(call.number, call.attempts - 1, call.out, took_us))
 
     def do_end(self, which: int, how: int, cause: int, beyond: int) -> None:
         """An attempt ends otherwise."""
-        if (call := self._call(which, True)) is not None and call.out is not None:
-            outcome, where, call.out = ENDS[how], call.out, None
-            if outcome in GUARDED:
+        if (call := self._pick_call(which, True)) is not None and call.out is not None:
+            outcome, where, call.out = FAILED_OUTCOMES[how], call.out, None
+            if outcome in GUARDED_OUTCOMES:
                 call.guard_us = self.now + self.settings.guard_us
-            self.tell(
+            self.handle_event(
                 api.AttemptEnded(
                     call.number,
                     call.attempts - 1,
@@ -246,22 +246,26 @@
 
     def do_stale(self, which: int, how: int) -> None:
         """The end of an attempt that is over, or was never made."""
-        self.tell(api.AttemptEnded(self.number + 1 - which, 7, self.name(1), ENDS[how]))
+        self.handle_event(
+            api.AttemptEnded(self.number + 1 - which, 7, self.exchange_id(1), FAILED_OUTCOMES[how])
+        )
 
     def do_gone(self, which: int) -> None:
         """A caller leaves."""
-        if (call := self._call(which, False)) is not None:
-            self.tell(api.CallerGone(call.number))
+        if (call := self._pick_call(which, False)) is not None:
+            self.handle_event(api.CallerGone(call.number))
             self.calls.pop(call.number, None)
 
     def do_load(self, cell: int, free: int, size: int, used: int, can_take: int) -> None:
         """A report."""
-        self.tell(
+        self.handle_event(
             api.LoadSeen(
-                self.name(1 + cell),
+                self.exchange_id(1 + cell),
                 api.Outcome.OK,
                 0,
-                api.Load(FIGURES[free], FIGURES[size], FIGURES[used], can_take=FIGURES[can_take]),
+                api.Load(
+                    LOAD_VALUES[free], LOAD_VALUES[size], LOAD_VALUES[used], can_take=LOAD_VALUES[can_take]
+                ),
             )
         )
 
@@ -270,19 +274,22 @@
         kind = api.ListMode(mode)
         entries = [
             api.Entry(
-                self.name(1 + cell, other), 1 + cell, api.State(state), launched_us=self.now if other else 0
+                self.exchange_id(1 + cell, other),
+                1 + cell,
+                api.State(state),
+                launched_us=self.now if other else 0,
             )
         ]
         if kind is api.ListMode.FAILED:
             entries = []
         elif kind is not api.ListMode.DELTA:
-            entries += [api.Entry(self.name(at), at) for at in range(CELLS + 1) if at != 1 + cell]
-        self.tell(api.Discovery(kind, entries))
-        self.listed = {key: value for key, value in self.listed.items() if value is not api.State.GONE}
+            entries += [api.Entry(self.exchange_id(at), at) for at in range(CELL_COUNT + 1) if at != 1 + cell]
+        self.handle_event(api.Discovery(kind, entries))
+        self.states = {key: value for key, value in self.states.items() if value is not api.State.GONE}
 
     def do_report(self, cell: int, accept: int, room: int) -> None:
         """Another controller's news."""
-        self.tell(api.PeerReport(1 + cell, accept / 10, room))
+        self.handle_event(api.PeerReport(1 + cell, accept / 10, room))
 
     def do_wait(self, us: int) -> None:
         """Time passes; timers come due; a call still open past its deadline has no answer."""
@@ -290,15 +297,15 @@
         while self.timers and self.timers[0][0] <= end:
             due, token = heapq.heappop(self.timers)
             self.now = max(self.now, due)
-            self.tell(api.TimerDue(token))
+            self.handle_event(api.TimerDue(token))
         self.now = end
         for call in list(self.calls.values()):
             if self.now > call.due_us:
                 del self.calls[call.number]
-                self.breach("no answer", f"call {call.number}, due {self.now - call.due_us} us ago")
+                self.add_violation("no answer", f"call {call.number}, due {self.now - call.due_us} us ago")
 
 
-def play(steps: list[Step], seed: int = 1) -> tuple[list[Breach], dict[str, int]]:
+def run_script(steps: list[Step], seed: int = 1) -> tuple[list[Violation], dict[str, int]]:
     """Play a script; its breaches, and what it reached."""
-    one = Play(seed)
-    return one.run(steps), one.counts
+    runner = ControllerScriptRunner(seed)
+    return runner.run(steps), runner.counts
--- a/barleywheel/fuzz/plants.py
+++ b/barleywheel/fuzz/plants.py
@@ -22,7 +22,7 @@
 
 
 @dataclass(frozen=True)
-class Plant:
+class PlantedFault:
     """One fault: ``old`` in ``file`` becomes ``new``; ``target`` should find it."""
 
     name: str
@@ -33,155 +33,155 @@
 
 
 @dataclass(frozen=True)
-class Outcome:
+class PlantedFaultResult:
     """What became of a plant: the rule that showed it, or "" where none did in the time."""
 
-    plant: Plant
+    fault: PlantedFault
     rule: str
     seen: str
     inputs: int
     seconds: float
 
 
-class Stale(Exception):
+class StaleQuoteError(Exception):
     """A plant's text does not stand in its file just once."""
 
 
-PLANTS = (
-    Plant(
+PLANTED_FAULTS = (
+    PlantedFault(
         "second answer",
         "router",
         "fronts/platform.py",
         'self.conn.write(jsonlines.encode("down", request.ref, advice, rejection.cause))',
         'self.conn.write(2 * jsonlines.encode("down", request.ref, advice, rejection.cause))',
     ),
-    Plant(
+    PlantedFault(
         "answer dropped",
         "router",
         "core/life.py",
         "        call.request.origin.reject(call.request, rejection)\n",
         "        call.attempts > 1 or call.request.origin.reject(call.request, rejection)\n",
     ),
-    Plant(
+    PlantedFault(
         "guard skipped",
         "module",
         "brain.py",
         "elif outcome not in (Outcome.REJECTED, Outcome.UNREACHABLE, Outcome.NOT_SENT):",
         "elif outcome not in (Outcome.REJECTED, Outcome.UNREACHABLE, Outcome.NOT_SENT, Outcome.RESET):",
     ),
-    Plant(
+    PlantedFault(
         "drain check skipped",
         "module",
         "brain.py",
         "if x.entry.cell == offer.destination and x.entry.state is api.State.READY",
         "if x.entry.cell == offer.destination",
     ),
-    Plant(
+    PlantedFault(
         "cancel left out",
         "router",
         "core/life.py",
         "if outcome.end in (End.TIMEOUT, End.GONE, End.CLOSED):",
         "if outcome.end in (End.TIMEOUT, End.CLOSED):",
     ),
-    Plant(
+    PlantedFault(
         "late answer not undone",
         "router",
         "net/hubs.py",
         "if attempt is None or not attempt.end(outcome):\n                conn.write(sip.bye(",
         "if attempt is not None and not attempt.end(outcome):\n                conn.write(sip.bye(",
     ),
-    Plant(
+    PlantedFault(
         "description cut",
         "router",
         "net/hubs.py",
         "outcome = Outcome(End.STANDS, load=load, description=message.body, at_us=now_us())",
         "outcome = Outcome(End.STANDS, load=load, description=message.body[:-1], at_us=now_us())",
     ),
-    Plant(
+    PlantedFault(
         "circuit not freed",
         "circuits",
         "fronts/m3ua.py",
         "if circuit.state in (State.RELEASING, State.BLOCKED) and not circuit.queued:",
         "if circuit.state is State.BLOCKED and not circuit.queued:",
     ),
-    Plant(
+    PlantedFault(
         "circuit given twice",
         "circuits",
         "fronts/m3ua.py",
         "if circuit.state is State.IDLE]\n        return min(",
         "if circuit.state is not State.OUT]\n        return min(",
     ),
-    Plant(
+    PlantedFault(
         "release of a standing call not passed on",
         "circuits",
         "fronts/m3ua.py",
         "                self.life.standing.by_caller(ref, cause)",
         "                pass",
     ),
-    Plant(
+    PlantedFault(
         "length off by one",
         "sip",
         "wire/sip.py",
         "message.body = buffer.take(size)[end + 4 :]",
         "message.body = buffer.take(size)[end + 3 :]",
     ),
-    Plant(
+    PlantedFault(
         "deep nesting not caught",
         "jsonlines",
         "wire/jsonlines.py",
         "except (ValueError, RecursionError) as error:",
         "except ValueError as error:",
     ),
-    Plant(
+    PlantedFault(
         "padding forgotten",
         "m3ua",
         "wire/m3ua.py",
         "body += PARAMETER.pack(tag, size) + value + bytes(-size % 4)",
         "body += PARAMETER.pack(tag, size + size % 2) + value + bytes(-size % 4)",
     ),
-    Plant(
+    PlantedFault(
         "optional parameter cut",
         "isup",
         "wire/isup.py",
         "value = data[at + 2 : at + 2 + data[at + 1]]\n",
         "value = data[at + 2 : at + 1 + data[at + 1]]\n",
     ),
-    Plant(
+    PlantedFault(
         "ids kept for ever",
         "router",
         "core/release.py",
         "self._deadlines.at(now_us() + ENDED_KEPT_US, lambda: self.ended.discard(ref))",
         "pass",
     ),
-    Plant(
+    PlantedFault(
         "released twice",
         "router",
         "core/release.py",
         "        leg = self.legs.pop(ref, None)\n        if leg is not None:\n            self.forget(ref)",
         "        leg = self.legs.get(ref)\n        if leg is not None:\n            self.forget(ref)",
     ),
-    Plant(
+    PlantedFault(
         "deadline ignored",
         "router",
         "core/life.py",
         "attempt.started_us + attempt.limit_us, lambda:",
         "attempt.started_us + 9 * attempt.limit_us, lambda:",
     ),
-    Plant(
+    PlantedFault(
         "attempts without end",
         "module",
         "brain.py",
         "if targets and offer.destination != self.settings.home and (cap is None or call.attempts < cap):",
         "if targets and offer.destination != self.settings.home:",
     ),
-    Plant(
+    PlantedFault(
         "journal's reader ends",
         "router",
         "net/journal.py",
         "BROKEN_OFF = (OSError, ValueError, Malformed, ",
         "BROKEN_OFF = (OSError, ValueError, ",
     ),
-    Plant(
+    PlantedFault(
         "nesting unchecked",
         "config",
         "config.py",
@@ -191,23 +191,23 @@
 )
 
 
-def planted(plant: Plant, folder: Path) -> Path:
-    """A copy of the package with the fault in it; Stale where its text does not stand there once."""
+def copy_with_fault(fault: PlantedFault, folder: Path) -> Path:
+    """A copy of the package with the fault in it; StaleQuoteError where its text does not stand once."""
     shutil.copytree(PACKAGE, folder / "barleywheel", ignore=shutil.ignore_patterns("__pycache__"))
-    path = folder / "barleywheel" / plant.file
+    path = folder / "barleywheel" / fault.file
     text = path.read_text()
-    if text.count(plant.old) != 1:
-        raise Stale(f"{plant.name}: its text stands {text.count(plant.old)} times in {plant.file}")
-    path.write_text(text.replace(plant.old, plant.new))
+    if text.count(fault.old) != 1:
+        raise StaleQuoteError(f"{fault.name}: its text stands {text.count(fault.old)} times in {fault.file}")
+    path.write_text(text.replace(fault.old, fault.new))
     return folder
 
 
-def sought(plant: Plant, seconds: float, seed: int) -> Outcome:
+def run_planted_fault(fault: PlantedFault, seconds: float, seed: int) -> PlantedFaultResult:
     """Run a plant's target until a rule breaks or the time is over."""
     with tempfile.TemporaryDirectory() as scratch:
-        folder = planted(plant, Path(scratch))
+        folder = copy_with_fault(fault, Path(scratch))
         done = subprocess.run(
-            [sys.executable, "-m", "barleywheel.fuzz.plants", plant.target, str(seconds), str(seed)],
+            [sys.executable, "-m", "barleywheel.fuzz.plants", fault.target, str(seconds), str(seed)],
             cwd=folder,
             env=os.environ | {"PYTHONPATH": str(folder)},
             text=True,
@@ -218,13 +218,17 @@
         rule, seen, inputs, took = json.loads(done.stdout.splitlines()[-1])
     except (ValueError, IndexError):
         rule, seen, inputs, took = "worker died", done.stderr[-300:], 0, 0.0
-    return Outcome(plant, rule, seen, inputs, took)
+    return PlantedFaultResult(fault, rule, seen, inputs, took)
 
 
-def all_sought(plants: list[Plant], seconds: float, seed: int, jobs: int) -> Iterator[Outcome]:
+def run_planted_faults(
+    faults: list[PlantedFault], seconds: float, seed: int, jobs: int
+) -> Iterator[PlantedFaultResult]:
     """All of them, so many at a time, in the order in which they are done."""
     with ThreadPoolExecutor(jobs) as pool:
-        for future in as_completed([pool.submit(sought, plant, seconds, seed) for plant in plants]):
+        for future in as_completed(
+            [pool.submit(run_planted_fault, fault, seconds, seed) for fault in faults]
+        ):
             yield future.result()
 
 
@@ -232,17 +236,21 @@
     """The process that looks for one plant: target, seconds, seed."""
     import time
 
-    from barleywheel.fuzz.engine import THOROUGH, Fuzzing
+    from barleywheel.fuzz.engine import FULL_CHECK_INTERVAL, FuzzSession
     from barleywheel.fuzz.targets import TARGETS
 
     target, seconds, seed = TARGETS[sys.argv[1]], float(sys.argv[2]), int(sys.argv[3])
-    fuzzing, start, count = Fuzzing(target, seed, []), time.monotonic(), 0
+    session, start, count = FuzzSession(target, seed, []), time.monotonic(), 0
     while time.monotonic() - start < seconds:
-        found = fuzzing.next()
-        breaches, _ = target.glance(found) if target.glance and count % THOROUGH else target.check(found)
+        found = session.next_input()
+        violations, _ = (
+            target.quick_check(found)
+            if target.quick_check and count % FULL_CHECK_INTERVAL
+            else target.check(found)
+        )
         count += 1
-        if breaches:
-            print(json.dumps([breaches[0].rule, breaches[0].seen, count, time.monotonic() - start]))
+        if violations:
+            print(json.dumps([violations[0].rule, violations[0].seen, count, time.monotonic() - start]))
             return
     print(json.dumps(["", "", count, seconds]))
 
--- a/barleywheel/fuzz/scripts.py
+++ b/barleywheel/fuzz/scripts.py
@@ -10,26 +10,26 @@
 from collections.abc import Callable
 from typing import Any
 
-from barleywheel.fuzz.rules import Breach, Offer, Rules
-from barleywheel.fuzz.source import Source, pick, weighted
+from barleywheel.fuzz.rules import OfferedCall, RuleChecker, Violation
+from barleywheel.fuzz.source import Source, pick, pick_weighted
 from barleywheel.standins import caller, exchange, hub
-from barleywheel.virtual.runtime import Stuck
-from barleywheel.virtual.world import (
-    AGENT,
-    CELLS,
-    DEADLINES_US,
+from barleywheel.virtual.environment import (
+    DEADLINE_US_BY_CLASS,
     EXCHANGE_CELL,
-    JOURNALS,
-    World,
-    address_of,
-    endpoint,
+    HUB_CELLS,
+    JOURNAL_ADDRESSES,
+    SNMP_LISTEN_ADDRESS,
+    VirtualEnvironment,
+    hub_address,
+    hub_endpoint,
 )
+from barleywheel.virtual.runtime import BusyLoopError
 
 Step = list[Any]
-CALLERS, CALLS, CIRCUITS, MOST_STEPS = 3, 12, 6, 40
+CALLER_COUNT, CALL_COUNT, CIRCUIT_COUNT, MAX_STEPS = 3, 12, 6, 40
 WAITS_US = (0, 1, 1000, 20_000, 80_000, 100_000, 299_000, 300_000, 500_000, 1_000_000, 1_200_000, 2_500_000)
-LEFTS_MS = (0, 1, 12, 100, 400, 800, 1200, 1201, 3000, 9000, 20_000)
-STATUSES = (
+TIMES_LEFT_MS = (0, 1, 12, 100, 400, 800, 1200, 1201, 3000, 9000, 20_000)
+HUB_STATUSES = (
     (6, "200"),
     (2, "503"),
     (2, "503 throttled"),
@@ -44,7 +44,7 @@
     (1, "302"),
     (1, "699"),
 )
-MODES = (
+HUB_MODES = (
     (6, "stand"),
     (4, "hold"),
     (1, "503 throttled"),
@@ -54,12 +54,13 @@
     (1, "504"),
     (1, "480"),
 )
-FLAGS = ((8, ""), (1, "r"), (2, "t"), (1, "a"), (1, "rt"))
-NUMBERS = ("7f3a", "0", "ffffffffffffffff", "3")
+CALL_FLAGS = ((8, ""), (1, "r"), (2, "t"), (1, "a"), (1, "rt"))
+CALLED_NUMBERS = ("7f3a", "0", "ffffffffffffffff", "3")
 HUB_CAUSES = (16, 31, 127)
-SHORT_US = 1_300_000  # what a script that is not thorough waits in its end: releases are owed within 1 s
-RAW_REF = "eeee03aa00000001"
-RAW = (
+# What a script that is not thorough waits in its end: releases are owed within 1 s.
+QUICK_CHECK_US = 1_300_000
+MALFORMED_REF = "eeee03aa00000001"
+MALFORMED_CALLER_DATA = (
     b"\n",
     b"{}\n",
     b"[]\n",
@@ -75,7 +76,7 @@
     b'{"t":"ack","ref":"eeee03aa00000001"}\n',
     b'{"t":"zz","ref":"eeee03aa00000001"}\n',
 )
-HUB_RAW = (
+MALFORMED_HUB_DATA = (
     b"\r\n\r\n",
     b"SIP/2.0 200 OK\r\n\r\n",
     b"X\x00Y\r\n\r\n",
@@ -90,7 +91,7 @@
     + b"\r\nContent-Length: 0\r\n\r\n",
     b"NOTIFY sip:g@net SIP/2.0\r\nX-State: x0:inf;x1:nan;qps:-1;queue:1e999\r\nContent-Length: 0\r\n\r\n",
 )
-JOURNAL_RAW = (
+MALFORMED_JOURNAL_BODIES = (
     b"",
     b"[]",
     b"{}",
@@ -107,7 +108,7 @@
     b'{"pos":53,"entries":[{"pos":53,"hosts":{"endpoints":[{"name":"h8","since_ms":1e999}]}}]}',
     b'{"pos":54,"entries":[{"pos":54,"hosts":{"endpoints":[{"name":"h8","address":"x:y"}]}}]}',
 )
-HTTP_RAW = (
+MALFORMED_HTTP_RESPONSES = (
     b"HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n",
     b"HTTP/9.9 zz\r\n",
     b"\x00\x01",
@@ -116,7 +117,7 @@
     b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nffffffffff\r\n",
     b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}",
 )
-LINK_RAW = (
+MALFORMED_M3UA_DATA = (
     b"\x01\x00\x01\x01\xff\xff\xff\xff",
     b"\x02\x00\x03\x01\x00\x00\x00\x08",
     b"\x01\x00",
@@ -128,13 +129,13 @@
     exchange.encode(exchange.SCON, {0x12: b"\0\0\0\xc8", 0x205: b"\0\0\0\1"}),
     exchange.encode(exchange.DAUD, {0x12: b"\0\0\0\xc8"}),
     exchange.encode(exchange.ERR, {0x0C: b"\0\0\0\1"}),
-    exchange.transfer(1, exchange.IAM),
-    exchange.transfer(2, exchange.REL),
-    exchange.transfer(99, 1),
-    exchange.transfer(3, exchange.ANM, b"\xff"),
-    exchange.transfer(1, 0x2F),
+    exchange.encode_data(1, exchange.IAM),
+    exchange.encode_data(2, exchange.REL),
+    exchange.encode_data(99, 1),
+    exchange.encode_data(3, exchange.ANM, b"\xff"),
+    exchange.encode_data(1, 0x2F),
 )
-SNMP_RAW = (
+MALFORMED_SNMP_DATA = (
     b"",
     b"\x30\x80",
     b"\x30" * 300,
@@ -144,91 +145,95 @@
 )
 
 
-def ref_of(call: int) -> str:
+def call_ref(call: int) -> str:
     """The id of a script's call."""
     return f"{0x9B1F03AA00000000 + call:016x}"
 
 
-def description_of(call: int) -> bytes:
+def call_description(call: int) -> bytes:
     """Its description: bytes that no text codec leaves alone, told apart by the call."""
     return b'd%d\r\nc=IN\r\n\xff\xfe\x00\x7f"\\\n' % call
 
 
-def make(source: Source, most: int = MOST_STEPS) -> list[Step]:
+def make_script(source: Source, max_steps: int = MAX_STEPS) -> list[Step]:
     """A script made up."""
     steps: list[Step] = []
     calm = source.below(3) == 0  # a third of all scripts has calls and few troubles
-    for _ in range(1 + source.below(most)):
-        kind = weighted(source, CALM if calm else ROUGH)
-        steps.append([kind, *MAKERS[kind](source)])
+    for _ in range(1 + source.below(max_steps)):
+        kind = pick_weighted(source, CALM_WEIGHTS if calm else ROUGH_WEIGHTS)
+        steps.append([kind, *STEP_MAKERS[kind](source)])
         if source.below(2):
             steps.append(["wait", pick(source, WAITS_US)])
     return steps
 
 
-def _new(source: Source) -> Step:
+def _new_call_step(source: Source) -> Step:
     return [
-        source.below(CALLERS),
-        source.below(CALLS),
+        source.below(CALLER_COUNT),
+        source.below(CALL_COUNT),
         1 + source.below(4),
         source.below(4) == 0,
-        weighted(source, ((6, 3000), (1, pick(source, LEFTS_MS)))),
-        weighted(source, FLAGS),
-        source.below(len(NUMBERS)) if source.below(4) == 0 else 0,
+        pick_weighted(source, ((6, 3000), (1, pick(source, TIMES_LEFT_MS)))),
+        pick_weighted(source, CALL_FLAGS),
+        source.below(len(CALLED_NUMBERS)) if source.below(4) == 0 else 0,
     ]
 
 
-MAKERS: dict[str, Callable[[Source], Step]] = {
-    "new": _new,
+STEP_MAKERS: dict[str, Callable[[Source], Step]] = {
+    "new": _new_call_step,
     "drip": lambda s: [
-        s.below(CALLERS),
-        s.below(CALLS),
+        s.below(CALLER_COUNT),
+        s.below(CALL_COUNT),
         1 + s.below(4),
         1 + s.below(300),
         pick(s, WAITS_US[:5]),
     ],
-    "down": lambda s: [s.below(CALLERS), s.below(CALLS), pick(s, (16, 16, 0, 200, True))],
-    "test": lambda s: [s.below(CALLERS)],
-    "raw": lambda s: [s.below(CALLERS), s.below(len(RAW))],
-    "hang": lambda s: [s.below(CALLERS), s.below(2)],
-    "stall": lambda s: [s.below(CALLERS), s.below(2)],
+    "down": lambda s: [s.below(CALLER_COUNT), s.below(CALL_COUNT), pick(s, (16, 16, 0, 200, True))],
+    "test": lambda s: [s.below(CALLER_COUNT)],
+    "raw": lambda s: [s.below(CALLER_COUNT), s.below(len(MALFORMED_CALLER_DATA))],
+    "hang": lambda s: [s.below(CALLER_COUNT), s.below(2)],
+    "stall": lambda s: [s.below(CALLER_COUNT), s.below(2)],
     "crowd": lambda s: [s.below(48)],
-    "mode": lambda s: [pick(s, CELLS), weighted(s, MODES), pick(s, (0, 0, 1000, 50_000, 400_000, 1_200_000))],
-    "answer": lambda s: [pick(s, CELLS), s.below(6), weighted(s, STATUSES)],
-    "copy": lambda s: [pick(s, CELLS), s.below(6)],
-    "bye": lambda s: [pick(s, CELLS), s.below(6), pick(s, HUB_CAUSES)],
-    "stray": lambda s: [pick(s, CELLS), s.below(CALLS), pick(s, HUB_CAUSES)],
-    "spoil": lambda s: [pick(s, CELLS), s.below(len(HUB_RAW))],
-    "gauge": lambda s: [pick(s, CELLS), pick(s, (0, 1, 5, 20))],
-    "lose": lambda s: [pick(s, CELLS), pick(s, ("die", "vanish", "reset", "close", "deaf"))],
-    "mend": lambda s: [pick(s, CELLS)],
-    "list": lambda s: [pick(s, CELLS), pick(s, ("Ready", "Terminating", "Terminating", "Gone"))],
-    "replace": lambda s: [pick(s, CELLS), s.below(2), s.below(2)],
+    "mode": lambda s: [
+        pick(s, HUB_CELLS),
+        pick_weighted(s, HUB_MODES),
+        pick(s, (0, 0, 1000, 50_000, 400_000, 1_200_000)),
+    ],
+    "answer": lambda s: [pick(s, HUB_CELLS), s.below(6), pick_weighted(s, HUB_STATUSES)],
+    "copy": lambda s: [pick(s, HUB_CELLS), s.below(6)],
+    "bye": lambda s: [pick(s, HUB_CELLS), s.below(6), pick(s, HUB_CAUSES)],
+    "stray": lambda s: [pick(s, HUB_CELLS), s.below(CALL_COUNT), pick(s, HUB_CAUSES)],
+    "spoil": lambda s: [pick(s, HUB_CELLS), s.below(len(MALFORMED_HUB_DATA))],
+    "gauge": lambda s: [pick(s, HUB_CELLS), pick(s, (0, 1, 5, 20))],
+    "lose": lambda s: [pick(s, HUB_CELLS), pick(s, ("die", "vanish", "reset", "close", "deaf"))],
+    "mend": lambda s: [pick(s, HUB_CELLS)],
+    "list": lambda s: [pick(s, HUB_CELLS), pick(s, ("Ready", "Terminating", "Terminating", "Gone"))],
+    "replace": lambda s: [pick(s, HUB_CELLS), s.below(2), s.below(2)],
     "journal": lambda s: [pick(s, ("ok", "ok", "stall", "cut", "refuse"))],
-    "garble": lambda s: [s.below(len(JOURNAL_RAW))],
-    "http": lambda s: [s.below(len(HTTP_RAW))],
+    "garble": lambda s: [s.below(len(MALFORMED_JOURNAL_BODIES))],
+    "http": lambda s: [s.below(len(MALFORMED_HTTP_RESPONSES))],
     "skip": lambda s: [s.below(4)],
     "hup": lambda s: [s.below(3)],
     "term": lambda s: [],
     "link": lambda s: [pick(s, ("up", "up", "up", "inactive", "down", "drop", "reset", "mute"))],
     "iam": lambda s: [
-        1 + s.below(CIRCUITS),
-        s.below(CALLS),
-        weighted(s, ((8, pick(s, NUMBERS)), (1, "7" * 60), (1, ""))),
+        1 + s.below(CIRCUIT_COUNT),
+        s.below(CALL_COUNT),
+        pick_weighted(s, ((8, pick(s, CALLED_NUMBERS)), (1, "7" * 60), (1, ""))),
         pick(s, (0, 0, 1, 2)),
     ],
-    "anm": lambda s: [s.below(CIRCUITS)],
-    "rel": lambda s: [s.below(CIRCUITS), pick(s, (16, 17, 34, 41, 42, 31)), s.below(2)],
-    "rlc": lambda s: [s.below(CIRCUITS)],
+    "anm": lambda s: [s.below(CIRCUIT_COUNT)],
+    "rel": lambda s: [s.below(CIRCUIT_COUNT), pick(s, (16, 17, 34, 41, 42, 31)), s.below(2)],
+    "rlc": lambda s: [s.below(CIRCUIT_COUNT)],
     "exchange": lambda s: [s.below(2), s.below(2)],
-    "frame": lambda s: [s.below(len(LINK_RAW))],
-    "snmp": lambda s: [s.below(len(SNMP_RAW))],
+    "frame": lambda s: [s.below(len(MALFORMED_M3UA_DATA))],
+    "snmp": lambda s: [s.below(len(MALFORMED_SNMP_DATA))],
     "clock": lambda s: [pick(s, (-1_000_000, 1_000_000, -3_600_000_000, 86_400_000_000))],
     "descriptors": lambda s: [1 + s.below(4)],
     "wait": lambda s: [pick(s, WAITS_US)],
 }
-OF_HUBS = {"mode", "answer", "copy", "bye", "stray", "spoil", "gauge", "lose", "mend", "list", "replace"}
-CALM = (
+HUB_STEPS = {"mode", "answer", "copy", "bye", "stray", "spoil", "gauge", "lose", "mend", "list", "replace"}
+CALM_WEIGHTS = (
     (12, "new"),
     (4, "down"),
     (4, "mode"),
@@ -246,8 +251,8 @@
     (1, "test"),
     (6, "wait"),
 )
-ROUGH = (
-    CALM
+ROUGH_WEIGHTS = (
+    CALM_WEIGHTS
     + tuple(
         (2 if name in ("lose", "mend", "list", "replace", "link") else 1, name)
         for name in (
@@ -279,103 +284,105 @@
 )
 
 
-class Play:
+class ScriptRunner:
     """One script played against one router. ``run`` gives the breaches."""
 
     def __init__(self, seed: int = 1) -> None:
-        self.rules = Rules()
-        self.world = World(seed, self.rules, self._heard, self._hung, self._isup)
-        self.rules.world = self.world
-        self.world.exchange.ended = self._link_lost
-        self.names = {cell: f"h{cell}" for cell in (*CELLS, EXCHANGE_CELL)}
+        self.checker = RuleChecker()
+        self.env = VirtualEnvironment(seed, self.checker, self._on_message, self._on_close, self._on_isup)
+        self.checker.env = self.env
+        self.env.exchange.on_link_lost = self._on_link_lost
+        self.hub_names = {cell: f"h{cell}" for cell in (*HUB_CELLS, EXCHANGE_CELL)}
         self.dead: set[int] = set()
-        self.replaced = 0
-        self.crowds = 100
+        self.replacement_count = 0
+        self.crowd_number = 100
         self.trouble = False  # something may have cost evidence: fewer tables are looked at in the end
 
     # What the world hears; a model that can't read the router's bytes says so.
 
-    def _heard(self, one: caller.Caller, kind: str, ref: str, message: dict[str, Any]) -> None:
-        self.rules.heard(one, kind, ref, message)
+    def _on_message(self, one: caller.Caller, kind: str, ref: str, message: dict[str, Any]) -> None:
+        self.checker.on_message(one, kind, ref, message)
 
-    def _hung(self, one: caller.Caller, reset: bool) -> None:
-        self.rules.hung(one, reset)
+    def _on_close(self, one: caller.Caller, reset: bool) -> None:
+        self.checker.on_router_closed(one, reset)
 
-    def _isup(self, one: exchange.Exchange, cic: int, kind: int, body: bytes, found: bytes) -> None:
-        self.rules.isup(one, cic, kind, body, found)
-        if kind == exchange.IAM and one.answers:
-            self.world.runtime.after(0, lambda: self._anm(cic))
-        elif kind == exchange.REL and one.completes:
-            self.world.runtime.after(0, lambda: self._rlc(cic))
+    def _on_isup(self, one: exchange.Exchange, cic: int, kind: int, body: bytes, found: bytes) -> None:
+        self.checker.on_isup(one, cic, kind, body, found)
+        if kind == exchange.IAM and one.answers_calls:
+            self.env.runtime.after(0, lambda: self._send_answer(cic))
+        elif kind == exchange.REL and one.completes_releases:
+            self.env.runtime.after(0, lambda: self._complete_release(cic))
         elif kind == exchange.RLC:
-            self.rules.freed(cic)
+            self.checker.on_circuit_freed(cic)
 
-    def run(self, steps: list[Step], thorough: bool = True) -> list[Breach]:
+    def run(self, steps: list[Step], thorough: bool = True) -> list[Violation]:
         """Play a script and what belongs behind it; the breaches in the order in which they were seen.
 
         What belongs behind it takes far longer than most scripts; where it is left out, what is owed when the
         script ends is looked at all the same.
         """
-        rules = self.rules
+        checker = self.checker
         try:
-            with self.world:
+            with self.env:
                 for step in steps:
-                    if self.world.left:
+                    if self.env.terminated:
                         break
-                    self._do(step)
+                    self._run_step(step)
                     if step[0] != "wait":
-                        self.world.run(0)
-                    rules.overdue()
-                    if rules.breaches:
+                        self.env.run(0)
+                    checker.check_overdue()
+                    if checker.violations:
                         break
-                if not rules.breaches and (thorough or rules.term_us is not None):
-                    self._end()
-                elif not rules.breaches:
-                    self.world.run(SHORT_US)
-                    rules.overdue()
-                self.world.left = True  # what is closed from here on is closed by us
-                self._inside()
-        except Stuck as error:
-            rules.breach("busy loop", str(error))
-        return rules.breaches
-
-    def _do(self, step: Step) -> None:
+                if not checker.violations and (thorough or checker.term_us is not None):
+                    self._check_recovery()
+                elif not checker.violations:
+                    self.env.run(QUICK_CHECK_US)
+                    checker.check_overdue()
+                self.env.terminated = True  # what is closed from here on is closed by us
+                self._check_internal_errors()
+        except BusyLoopError as error:
+            checker.add_violation("busy loop", str(error))
+        return checker.violations
+
+    def _run_step(self, step: Step) -> None:
         """One step; a hub that there is none of is taken round."""
         name, *rest = step
-        if name in OF_HUBS and rest[0] not in CELLS:
-            rest[0] = CELLS[rest[0] % len(CELLS)]
+        if name in HUB_STEPS and rest[0] not in HUB_CELLS:
+            rest[0] = HUB_CELLS[rest[0] % len(HUB_CELLS)]
         getattr(self, f"do_{name}")(*rest)
 
-    def _inside(self) -> None:
+    def _check_internal_errors(self) -> None:
         """What must never be, whatever came."""
-        for complaint in self.world.network.complaints:
-            self.rules.breach("unreadable", complaint)
-        for fault in self.world.runtime.faults:
-            self.rules.breach("greenlet ended", f"{type(fault).__name__}: {str(fault)[:200]}")
-        for line in self.world.lines.errors:
-            self.rules.breach("logged at ERROR", line[:300])
+        for message in self.env.network.protocol_errors:
+            self.checker.add_violation("unreadable", message)
+        for error in self.env.runtime.uncaught_errors:
+            self.checker.add_violation("greenlet ended", f"{type(error).__name__}: {str(error)[:200]}")
+        for line in self.env.log_recorder.errors:
+            self.checker.add_violation("logged at ERROR", line[:300])
 
     # Callers.
 
-    def _caller(self, number: int) -> caller.Caller | None:
-        return self.world.caller(number)
+    def _caller_connection(self, number: int) -> caller.Caller | None:
+        return self.env.caller_connection(number)
 
-    def _offer(
+    def _make_offer(
         self, one: caller.Caller, call: int, to: int, gold: bool, left_ms: int, flags: str, number: int
-    ) -> tuple[bytes, Offer]:
+    ) -> tuple[bytes, OfferedCall]:
         name = "gold" if gold else "voice"
-        data = caller.setup(ref_of(call), to, description_of(call), name, left_ms, NUMBERS[number], flags)
-        valid = 0 < left_ms <= DEADLINES_US[name] // 1000 + 1000
+        data = caller.encode_setup(
+            call_ref(call), to, call_description(call), name, left_ms, CALLED_NUMBERS[number], flags
+        )
+        valid = 0 < left_ms <= DEADLINE_US_BY_CLASS[name] // 1000 + 1000
         # While descriptors are short the router tries again each 50 ms: what waits to be accepted is late.
-        now = self.world.now_us + 60_000 * sum(x.failing for x in self.world.network.listeners.values())
-        return data, Offer(
-            ref_of(call),
+        now = self.env.now_us + 60_000 * sum(x.accept_failures for x in self.env.network.listeners.values())
+        return data, OfferedCall(
+            call_ref(call),
             one,
             now,
             now + (left_ms * 1000 if valid else 10_000_000),
             to,
-            description_of(call),
-            NUMBERS[number],
+            call_description(call),
+            CALLED_NUMBERS[number],
             "t" in flags,
         )
 
@@ -390,73 +397,73 @@
         number: int = 0,
     ) -> None:
         """A set-up."""
-        if (one := self._caller(conn)) is not None:
-            data, offer = self._offer(one, call, to, gold, left_ms, flags, number)
-            self.rules.offered(offer)
-            one.wire.write(data)
-            if offer.at_us > self.world.now_us:
-                self.world.run(offer.at_us - self.world.now_us)
+        if (one := self._caller_connection(conn)) is not None:
+            data, offer = self._make_offer(one, call, to, gold, left_ms, flags, number)
+            self.checker.on_offer(offer)
+            one.transport.write(data)
+            if offer.at_us > self.env.now_us:
+                self.env.run(offer.at_us - self.env.now_us)
 
     def do_drip(self, conn: int, call: int, to: int, size: int = 1, gap_us: int = 0) -> None:
         """A set-up in pieces of so many bytes, each read before the next comes."""
-        if (one := self._caller(conn)) is None:
+        if (one := self._caller_connection(conn)) is None:
             return
-        data, _ = self._offer(one, call, to, False, 3000, "", 0)
+        data, _ = self._make_offer(one, call, to, False, 3000, "", 0)
         if gap_us * (len(data) // size) > 2_000_000:
             gap_us = 0
         for at in range(0, len(data), size):
             if not one.open:
                 return
             if at + size >= len(data):
-                self.rules.offered(self._offer(one, call, to, False, 3000, "", 0)[1])
-            one.wire.write(data[at : at + size])
-            self.world.run(gap_us)
+                self.checker.on_offer(self._make_offer(one, call, to, False, 3000, "", 0)[1])
+            one.transport.write(data[at : at + size])
+            self.env.run(gap_us)
 
     def do_down(self, conn: int, call: int, cause: int = 16) -> None:
         """A caller gives up a set-up, or releases a call."""
-        if (one := self._caller(conn)) is not None:
-            self.rules.gave_up(ref_of(call))
-            one.wire.write(caller.line("down", ref_of(call), c=cause))
+        if (one := self._caller_connection(conn)) is not None:
+            self.checker.on_caller_release(call_ref(call))
+            one.transport.write(caller.encode_message("down", call_ref(call), c=cause))
 
     def do_test(self, conn: int) -> None:
         """A test."""
-        if (one := self._caller(conn)) is not None:
-            self.rules.known.add(one)
-            one.wire.write(caller.line("hb", "1", c=0))
+        if (one := self._caller_connection(conn)) is not None:
+            self.checker.known_callers.add(one)
+            one.transport.write(caller.encode_message("hb", "1", c=0))
 
     def do_raw(self, conn: int, which: int) -> None:
         """What can't be read, or should not be."""
-        if (one := self._caller(conn)) is not None:
-            self.rules.dirty.add(one)
-            self.rules.ignored.add(RAW_REF)
-            one.wire.write(RAW[which % len(RAW)])
+        if (one := self._caller_connection(conn)) is not None:
+            self.checker.malformed_callers.add(one)
+            self.checker.ignored_ids.add(MALFORMED_REF)
+            one.transport.write(MALFORMED_CALLER_DATA[which % len(MALFORMED_CALLER_DATA)])
 
     def do_hang(self, conn: int, reset: int = 0) -> None:
         """A caller hangs up, or its connection is reset."""
-        one = self.world.callers.get(conn)
+        one = self.env.callers.get(conn)
         if one is not None and one.open:
-            self.rules.caller_closed(one)
-            self.rules.excuse_duties()
+            self.checker.on_caller_closed(one)
+            self.checker.waive_expectations()
             one.close(bool(reset))
 
     def do_stall(self, conn: int, on: int = 0) -> None:
         """A caller stops reading, or goes on."""
-        one = self.world.callers.get(conn)
+        one = self.env.callers.get(conn)
         if one is not None and one.open:
-            self.rules.dirty.add(one)
-            one.wire.read_on(bool(on))  # type: ignore[attr-defined]
+            self.checker.malformed_callers.add(one)
+            one.transport.set_reading(bool(on))  # type: ignore[attr-defined]
 
     def do_crowd(self, count: int) -> None:
         """Connections that say nothing."""
         for _ in range(min(count, 48)):
-            self.crowds += 1
-            if (one := self.world.caller(self.crowds)) is not None:
-                self.rules.dirty.add(one)
+            self.crowd_number += 1
+            if (one := self.env.caller_connection(self.crowd_number)) is not None:
+                self.checker.malformed_callers.add(one)
 
     # Hubs.
 
     def _hub(self, cell: int) -> hub.Hub:
-        return self.world.hubs[self.names[cell]]
+        return self.env.hubs[self.hub_names[cell]]
 
     def do_mode(self, cell: int, mode: str = "stand", delay_us: int = 0) -> None:
         """What a hub does with set-ups."""
@@ -479,8 +486,8 @@
         if done:
             setup = done[-1 - which % len(done)]
             if setup.conn.open:
-                body = hub.described(one.name, setup.ref) if setup.answers[-1] < 300 else b""
-                setup.conn.wire.write(hub.answer(setup.message, setup.answers[-1], body))
+                body = hub.hub_description(one.name, setup.ref) if setup.answers[-1] < 300 else b""
+                setup.conn.transport.write(hub.answer(setup.message, setup.answers[-1], body))
 
     def do_bye(self, cell: int, which: int, cause: int = 16) -> None:
         """A hub releases a call that stands there."""
@@ -493,12 +500,12 @@
         """A hub releases a call, whether it has it or not, and answers a set-up that it never got."""
         one = self._hub(cell)
         if one.conns:
-            if ref_of(call) not in one.standing and not any(
-                ref_of(call) in other.standing for other in self.world.hubs.values()
+            if call_ref(call) not in one.standing and not any(
+                call_ref(call) in other.standing for other in self.env.hubs.values()
             ):
-                one.bye(ref_of(call), cause)
-            trunk = one.conns[0]
-            trunk.wire.write(
+                one.bye(call_ref(call), cause)
+            conn = one.conns[0]
+            conn.transport.write(
                 b"SIP/2.0 200 OK\r\nCall-ID: ffff0000ffff0000\r\nCSeq: 1 INVITE\r\n"
                 b"Content-Length: 2\r\n\r\nzz"
             )
@@ -507,372 +514,383 @@
         """A hub writes what can't be read."""
         one = self._hub(cell)
         if one.conns:
-            raw = HUB_RAW[which % len(HUB_RAW)]
-            self.rules.troubled(one.name, dead=False)
-            self.rules.strangers["ffff03aa00000002"] = 1
-            one.conns[-1].wire.write(raw)
+            raw = MALFORMED_HUB_DATA[which % len(MALFORMED_HUB_DATA)]
+            self.checker.on_hub_failed(one.name, dead=False)
+            self.checker.unknown_releases["ffff03aa00000002"] = 1
+            one.conns[-1].transport.write(raw)
 
     def do_gauge(self, cell: int, free: int) -> None:
         """The state of a group."""
-        self._hub(cell).gauge(free)
+        self._hub(cell).send_state(free)
 
     def do_lose(self, cell: int, how: str) -> None:
         """A hub's process dies, its machine vanishes, or its connections end."""
         one = self._hub(cell)
-        address = address_of(one.name)
-        self.rules.troubled(one.name, dead=False)
+        address = hub_address(one.name)
+        self.checker.on_hub_failed(one.name, dead=False)
         if how == "die":
-            self.world.network.hosts.pop(address, None)
+            self.env.network.hosts.pop(address, None)
             one.standing.clear()
         elif how == "vanish":
-            self.world.network.cut_off.add(address)
-            for trunk in one.conns:
-                trunk.wire.silent = True  # type: ignore[attr-defined]
+            self.env.network.unreachable.add(address)
+            for conn in one.conns:
+                conn.transport.silent = True  # type: ignore[attr-defined]
             for setup in one.setups:
                 if setup.open:
-                    self.rules.given_up(one, setup)
+                    self.checker.on_given_up(one, setup)
                     setup.open = False
             one.conns.clear()
             one.standing.clear()
             return
         elif how == "deaf":
-            one.deaf = True
+            one.ignores_options = True
             return
-        for trunk in list(one.conns):
-            trunk.close(reset=how != "close")
+        for conn in list(one.conns):
+            conn.close(reset=how != "close")
 
     def do_mend(self, cell: int) -> None:
         """A hub serves again."""
         one = self._hub(cell)
-        address = address_of(one.name)
-        one.deaf = False
-        self.world.network.cut_off.discard(address)
-        self.world.network.hosts[address] = one.connected
+        address = hub_address(one.name)
+        one.ignores_options = False
+        self.env.network.unreachable.discard(address)
+        self.env.network.hosts[address] = one.accept_connection
 
     # The journal.
 
-    def _tell(self, endpoints: list[dict[str, Any]], skip: int = 0) -> None:
-        self.world.journal.tell(endpoints, skip=skip)
-        self.world.run(0)
-        if self.world.router.journal.pos >= self.world.journal.pos:
+    def _publish(self, endpoints: list[dict[str, Any]], skip: int = 0) -> None:
+        self.env.journal.publish(endpoints, skip=skip)
+        self.env.run(0)
+        if self.env.router.journal.pos >= self.env.journal.pos:
             for told in endpoints:
                 if told["status"] == "Ready":
-                    self.rules.opened(told["name"])
+                    self.checker.on_hub_ready(told["name"])
                 else:
-                    self.rules.closed(told["name"])
+                    self.checker.on_hub_closed(told["name"])
 
     def do_list(self, cell: int, status: str) -> None:
         """The list tells a hub's state."""
-        name = self.names[cell]
+        name = self.hub_names[cell]
         if status == "Ready":
-            self.rules.opened(name)
+            self.checker.on_hub_ready(name)
         elif status == "Gone":
-            self.rules.troubled(name, dead=True)
-        self._tell([endpoint(name, status)])
+            self.checker.on_hub_failed(name, dead=True)
+        self._publish([hub_endpoint(name, status)])
 
     def do_replace(self, cell: int, overlap: int = 0, cold: int = 0) -> None:
         """A hub gives way to a new one at its address, which may still hear its calls."""
-        old = self.names[cell]
-        self.rules.troubled(old, dead=True)
-        self.replaced += 1
-        name = self.names[cell] = f"h{cell}r{self.replaced}"
+        old = self.hub_names[cell]
+        self.checker.on_hub_failed(old, dead=True)
+        self.replacement_count += 1
+        name = self.hub_names[cell] = f"h{cell}r{self.replacement_count}"
         if not overlap:
-            self._tell([endpoint(old, "Terminating")])
-            for trunk in list(self.world.hubs[old].conns):
-                trunk.close()
-            self._tell([endpoint(old, "Gone")])
-        self.world.add(name)
-        since_ms = self.world.now_us // 1000 if cold else 0
-        self._tell([endpoint(name, since_ms=since_ms)])
+            self._publish([hub_endpoint(old, "Terminating")])
+            for conn in list(self.env.hubs[old].conns):
+                conn.close()
+            self._publish([hub_endpoint(old, "Gone")])
+        self.env.add_hub(name)
+        since_ms = self.env.now_us // 1000 if cold else 0
+        self._publish([hub_endpoint(name, since_ms=since_ms)])
         if overlap:
-            self._tell([endpoint(old, "Gone")])
-            for trunk in list(self.world.hubs[old].conns):
-                trunk.close()
+            self._publish([hub_endpoint(old, "Gone")])
+            for conn in list(self.env.hubs[old].conns):
+                conn.close()
 
     def do_journal(self, mode: str) -> None:
         """The journal service is well, stalls, breaks off or is away."""
-        one, hosts = self.world.journal, self.world.network.hosts
+        one, hosts = self.env.journal, self.env.network.hosts
         address = self._journal_address()
         one.mode = mode if mode != "refuse" else "ok"
-        hosts[address] = one.connected
+        hosts[address] = one.accept_connection
         if mode == "refuse":
             del hosts[address]
             for poll in list(one.polls):
-                poll.wire.close(reset=True)
-                poll.closed(True)
+                poll.transport.close(reset=True)
+                poll.connection_lost(True)
         if mode == "ok":
             for poll in list(one.polls):
                 if poll.tail is not None:
-                    one.give(poll)
+                    one.respond(poll)
 
     def _journal_address(self) -> tuple[str, int]:
-        return JOURNALS[max(0, self.world.journal_at)]
+        return JOURNAL_ADDRESSES[max(0, self.env.journal_index)]
 
     def do_garble(self, which: int) -> None:
         """The journal answers with what is no answer, once or more."""
-        one = self.world.journal
-        one.mode, one.spoilt = "garble", JOURNAL_RAW[which % len(JOURNAL_RAW)]
-        self._spoilt()
+        one = self.env.journal
+        one.mode, one.bad_body = "garble", MALFORMED_JOURNAL_BODIES[which % len(MALFORMED_JOURNAL_BODIES)]
+        self._serve_bad_body()
 
     def do_http(self, which: int) -> None:
         """The journal answers with what is no HTTP."""
-        one = self.world.journal
-        one.mode, one.spoilt = "raw", HTTP_RAW[which % len(HTTP_RAW)]
-        self._spoilt()
+        one = self.env.journal
+        one.mode, one.bad_body = "raw", MALFORMED_HTTP_RESPONSES[which % len(MALFORMED_HTTP_RESPONSES)]
+        self._serve_bad_body()
 
-    def _spoilt(self) -> None:
-        one = self.world.journal
+    def _serve_bad_body(self) -> None:
+        one = self.env.journal
         for poll in list(one.polls):
             if poll.tail is not None:
-                one.give(poll)
-        self.world.run(250_000)
+                one.respond(poll)
+        self.env.run(250_000)
         one.mode = "ok"
-        one.pos = max(one.pos, self.world.router.journal.pos)
+        one.pos = max(one.pos, self.env.router.journal.pos)
 
     def do_skip(self, numbers: int) -> None:
         """An event whose number leaves some out, or one that was told before comes again."""
-        one = self.world.journal
+        one = self.env.journal
         if numbers:
-            self._tell([endpoint(self.names[1])], skip=numbers)
-            self.rules.opened(self.names[1])
+            self._publish([hub_endpoint(self.hub_names[1])], skip=numbers)
+            self.checker.on_hub_ready(self.hub_names[1])
         else:
             one.entries = one.entries[-3:] + one.entries[-1:]
 
     def do_hup(self, how: int) -> None:
         """SIGHUP: the journal has moved, or not, or the file is spoilt."""
         if how == 0:
-            self.world.move_journal()
-        before = self.world.journal_at
+            self.env.move_journal()
+        before = self.env.journal_index
         if how == 2:
-            self.world.journal_at = -1
-        self.world.router.reload.set()
-        self.world.run(0)
-        self.world.journal_at = before
+            self.env.journal_index = -1
+        self.env.router.reload.set()
+        self.env.run(0)
+        self.env.journal_index = before
 
     def do_term(self) -> None:
         """SIGTERM."""
-        if self.rules.term_us is None:
-            self.rules.term_us = self.world.now_us
-            self.world.leave()
+        if self.checker.term_us is None:
+            self.checker.term_us = self.env.now_us
+            self.env.terminate()
 
     # The exchange.
 
     def do_link(self, how: str) -> None:
         """The exchange's link comes up, goes down, or loses its ASP."""
-        one = self.world.exchange
+        one = self.env.exchange
         if how == "up":
             if one.active:
-                self._link_lost()  # ASPUP takes an active one back to inactive (RFC 4666, 4.3.4.1)
-            if self.world.link():
-                one.up()
+                self._on_link_lost()  # ASPUP takes an active one back to inactive (RFC 4666, 4.3.4.1)
+            if self.env.connect_link():
+                one.activate()
             return
         if how == "mute":
-            one.beats = not one.beats
+            one.answers_heartbeats = not one.answers_heartbeats
             return
         if how == "inactive":
-            one.write(exchange.encode(exchange.ASPIA, exchange.CONTEXT))
+            one.write(exchange.encode(exchange.ASPIA, exchange.ROUTING_CONTEXT))
         elif how == "down":
             one.write(exchange.encode(exchange.ASPDN, {}))
         else:
             one.drop(how == "reset")
-        self._link_lost()
+        self._on_link_lost()
 
-    def _link_lost(self) -> None:
-        for offer in self.rules.circuits.values():
+    def _on_link_lost(self) -> None:
+        for offer in self.checker.inbound_circuits.values():
             if offer.open:
-                offer.given_up_us = self.world.now_us
-        self.rules.troubled("h4", dead=False)
-        for offer in self.rules.outward.values():
-            for one in offer.tries:
+                offer.given_up_us = self.env.now_us
+        self.checker.on_hub_failed("h4", dead=False)
+        for offer in self.checker.outbound_circuits.values():
+            for one in offer.attempts:
                 if one.where == "h4" and one.end_us is None:
-                    one.end_us, one.guarded = self.world.now_us, True
+                    one.end_us, one.guarded = self.env.now_us, True
 
     def do_iam(self, cic: int, call: int, number: str = "7f3a", gold: int = 0) -> None:
         """The exchange sets up a call on a circuit that it holds idle."""
-        one, rules = self.world.exchange, self.rules
-        taken = cic in rules.circuits or cic in rules.released_by or cic in rules.outward
-        if taken or not one.active or not 1 <= cic <= CIRCUITS:
+        one, checker = self.env.exchange, self.checker
+        taken = (
+            cic in checker.inbound_circuits or cic in checker.released_by or cic in checker.outbound_circuits
+        )
+        if taken or not one.active or not 1 <= cic <= CIRCUIT_COUNT:
             return
-        now = self.world.now_us
+        now = self.env.now_us
         description = b"x%d-%d-%d" % (cic, call, now % 1_000_000_007)
-        if any(offer.description == description for offer in rules.offers):
+        if any(offer.description == description for offer in checker.offers):
             return
         served = gold < 2 and len(number) <= 16
         to = {"7": 1, "0": 1, "1": 1, "2": 2, "3": 3}.get(number[:1], -1) if served else -1
         due_us = now + (3_000_000, 2_000_000, 3_000_000)[gold]
-        rules.offered_on(cic, Offer(f"on circuit {cic}", None, now, due_us, to, description, number, cic=cic))
-        one.write(exchange.iam(cic, description, (10, 11, 77)[gold], number))
+        checker.on_exchange_offer(
+            cic, OfferedCall(f"on circuit {cic}", None, now, due_us, to, description, number, cic=cic)
+        )
+        one.write(exchange.encode_iam(cic, description, (10, 11, 77)[gold], number))
 
-    def _anm(self, cic: int) -> None:
-        offer = self.rules.outward.get(cic)
-        if offer is None or not self.world.exchange.active or cic in self.rules.released_by:
+    def _send_answer(self, cic: int) -> None:
+        offer = self.checker.outbound_circuits.get(cic)
+        if offer is None or not self.env.exchange.active or cic in self.checker.released_by:
             return
-        last = offer.tries[-1]
+        last = offer.attempts[-1]
         if last.where == "h4" and last.end_us is None:
-            last.end_us, last.stood = self.world.now_us, True
-            self.world.exchange.write(exchange.anm(cic, hub.described("h4", offer.ref)[:250]))
-            self.rules.undone["h4", offer.ref] = self.world.now_us
+            last.end_us, last.succeeded = self.env.now_us, True
+            self.env.exchange.write(exchange.encode_anm(cic, hub.hub_description("h4", offer.ref)[:250]))
+            self.checker.unresolved_answers["h4", offer.ref] = self.env.now_us
 
     def do_anm(self, which: int) -> None:
         """The exchange answers a call."""
-        if self.rules.outward:
-            self._anm(list(self.rules.outward)[which % len(self.rules.outward)])
+        if self.checker.outbound_circuits:
+            self._send_answer(
+                list(self.checker.outbound_circuits)[which % len(self.checker.outbound_circuits)]
+            )
 
     def do_rel(self, which: int, cause: int = 16, reset: int = 0) -> None:
         """The exchange releases or resets a circuit that has a call."""
-        rules, one = self.rules, self.world.exchange
-        taken = sorted(set(rules.circuits) | set(rules.outward))
+        checker, one = self.checker, self.env.exchange
+        taken = sorted(set(checker.inbound_circuits) | set(checker.outbound_circuits))
         if not taken or not one.active:
             return
         cic = taken[which % len(taken)]
-        inward, outward = rules.circuits.get(cic), rules.outward.get(cic)
-        if cic in rules.released_by:
+        inbound, outbound = checker.inbound_circuits.get(cic), checker.outbound_circuits.get(cic)
+        if cic in checker.released_by:
             return
-        rules.released_by[cic] = "exchange"
-        if inward is not None:
-            if inward.open:
-                inward.given_up_us = self.world.now_us
-            elif (stood := rules.standing.get(inward.ref)) is not None and not stood.over:
-                stood.over = "caller"
-                if not stood.excused:
-                    rules.duty("hub released", inward.ref, 1_000_000)
-        if outward is not None:
-            last = outward.tries[-1]
+        checker.released_by[cic] = "exchange"
+        if inbound is not None:
+            if inbound.open:
+                inbound.given_up_us = self.env.now_us
+            elif (
+                standing_call := checker.standing.get(inbound.ref)
+            ) is not None and not standing_call.ended_by:
+                standing_call.ended_by = "caller"
+                if not standing_call.uncertain:
+                    checker.expect("hub released", inbound.ref, 1_000_000)
+        if outbound is not None:
+            last = outbound.attempts[-1]
             if last.where == "h4" and last.end_us is None:
-                last.end_us, last.guarded = self.world.now_us, cause == 41 or bool(reset)
-            rules.undone.pop(("h4", outward.ref), None)
-            stood = rules.standing.get(outward.ref)
-            if stood is not None and stood.where == "h4" and not stood.over:
-                stood.over = "hub"
-                if rules.reachable() and not stood.excused:
-                    rules.duty("caller told", outward.ref, 1_000_000)
-        one.write(exchange.transfer(cic, exchange.RSC) if reset else exchange.rel(cic, cause))
-
-    def _rlc(self, cic: int) -> None:
-        if self.rules.released_by.get(cic) == "router" and self.world.exchange.write(
-            exchange.transfer(cic, exchange.RLC)
+                last.end_us, last.guarded = self.env.now_us, cause == 41 or bool(reset)
+            checker.unresolved_answers.pop(("h4", outbound.ref), None)
+            standing_call = checker.standing.get(outbound.ref)
+            if standing_call is not None and standing_call.where == "h4" and not standing_call.ended_by:
+                standing_call.ended_by = "hub"
+                if checker.caller_reachable() and not standing_call.uncertain:
+                    checker.expect("caller told", outbound.ref, 1_000_000)
+        one.write(exchange.encode_data(cic, exchange.RSC) if reset else exchange.encode_rel(cic, cause))
+
+    def _complete_release(self, cic: int) -> None:
+        if self.checker.released_by.get(cic) == "router" and self.env.exchange.write(
+            exchange.encode_data(cic, exchange.RLC)
         ):
-            self.rules.freed(cic)
+            self.checker.on_circuit_freed(cic)
 
     def do_rlc(self, which: int) -> None:
         """The exchange completes a release that it had left waiting."""
-        waiting = [cic for cic, who in self.rules.released_by.items() if who == "router"]
+        waiting = [cic for cic, who in self.checker.released_by.items() if who == "router"]
         if waiting:
-            self._rlc(waiting[which % len(waiting)])
+            self._complete_release(waiting[which % len(waiting)])
 
     def do_exchange(self, answers: int, completes: int) -> None:
         """Whether the exchange answers calls and completes releases by itself."""
-        one = self.world.exchange
-        one.answers, one.completes = bool(answers), bool(completes)
+        one = self.env.exchange
+        one.answers_calls, one.completes_releases = bool(answers), bool(completes)
 
     def do_frame(self, which: int) -> None:
         """The exchange sends what it should not."""
-        raw = LINK_RAW[which % len(LINK_RAW)]
-        self.world.exchange.write(raw)
-        if which % len(LINK_RAW) in (0, 2):  # what is no frame: nothing behind it would be read as meant
-            self.world.run(0)
-            self.world.exchange.drop()
-            self._link_lost()
+        raw = MALFORMED_M3UA_DATA[which % len(MALFORMED_M3UA_DATA)]
+        self.env.exchange.write(raw)
+        # What is no frame: nothing behind it would be read as meant.
+        if which % len(MALFORMED_M3UA_DATA) in (0, 2):
+            self.env.run(0)
+            self.env.exchange.drop()
+            self._on_link_lost()
 
     # The rest.
 
     def do_snmp(self, which: int) -> None:
         """A datagram for the agent."""
-        agent = self.world.network.bound[AGENT]
-        agent.arrive(SNMP_RAW[which % len(SNMP_RAW)], ("10.5.0.1", 161))
+        agent = self.env.network.datagram_sockets[SNMP_LISTEN_ADDRESS]
+        agent.deliver(MALFORMED_SNMP_DATA[which % len(MALFORMED_SNMP_DATA)], ("10.5.0.1", 161))
 
     def do_clock(self, by_us: int) -> None:
         """The system's clock is set."""
-        self.world.runtime.skew_us += by_us
+        self.env.runtime.skew_us += by_us
 
     def do_descriptors(self, count: int) -> None:
         """No descriptors for so many connections."""
-        for listener in self.world.network.listeners.values():
-            listener.failing += count
+        for listener in self.env.network.listeners.values():
+            listener.accept_failures += count
 
     def do_wait(self, us: int) -> None:
         """Time passes, and what must have been seen by then is looked at on the way."""
-        self.world.run(us)
+        self.env.run(us)
 
     # What belongs behind every script.
 
-    def _end(self) -> None:
+    def _check_recovery(self) -> None:
         """Everybody is well again; whatever was open ends, and a good caller is served at every hub."""
-        rules, world = self.rules, self.world
-        world.journal.mode = "ok"
-        if rules.term_us is not None:
-            world.run(6_000_000)
-            rules.overdue()
-            if not world.left:
-                rules.breach("does not leave", "6 s after SIGTERM")
+        checker, env = self.checker, self.env
+        env.journal.mode = "ok"
+        if checker.term_us is not None:
+            env.run(6_000_000)
+            checker.check_overdue()
+            if not env.terminated:
+                checker.add_violation("does not leave", "6 s after SIGTERM")
             return
         self.do_journal("ok")
-        for cell in CELLS:
+        for cell in HUB_CELLS:
             self.do_mend(cell)
             one = self._hub(cell)
             one.mode, one.delay_us = "stand", 0
-            one.gauge(20)
+            one.send_state(20)
         for number in (0, 1, 2):
-            if (one_caller := world.callers.get(number)) is not None and one_caller.open:
-                one_caller.wire.read_on(True)  # type: ignore[attr-defined]
-        for listener in world.network.listeners.values():
-            listener.failing = 0
-        world.run(1_000_000)
-        self._tell([endpoint(self.names[cell]) for cell in CELLS])
-        for cell in CELLS:
-            rules.opened(self.names[cell])
+            if (conn := env.callers.get(number)) is not None and conn.open:
+                conn.transport.set_reading(True)  # type: ignore[attr-defined]
+        for listener in env.network.listeners.values():
+            listener.accept_failures = 0
+        env.run(1_000_000)
+        self._publish([hub_endpoint(self.hub_names[cell]) for cell in HUB_CELLS])
+        for cell in HUB_CELLS:
+            checker.on_hub_ready(self.hub_names[cell])
         for _ in range(8):
-            world.run(1_000_000)
-            rules.overdue()
-        served = self._served()
-        for cell in CELLS:
+            env.run(1_000_000)
+            checker.check_overdue()
+        served = self._serve_every_cell()
+        for cell in HUB_CELLS:
             if cell not in served:
-                rules.breach("not served again", f"no call stands at {self.names[cell]} in 20 tries")
-        self._quiet()
+                checker.add_violation(
+                    "not served again", f"no call stands at {self.hub_names[cell]} in 20 tries"
+                )
+        self._check_tables_empty()
 
-    def _served(self) -> set[int]:
-        world, rules, served = self.world, self.rules, set()
+    def _serve_every_cell(self) -> set[int]:
+        env, checker, served = self.env, self.checker, set()
         for again in range(20):
-            missing = [cell for cell in CELLS if cell not in served]
+            missing = [cell for cell in HUB_CELLS if cell not in served]
             if not missing:
                 break
             for cell in missing:
                 call = 1000 + 10 * again + cell
-                one = world.caller(90)
+                one = env.caller_connection(90)
                 if one is None:
-                    rules.breach("not served again", "no connection is taken")
-                    return set(CELLS)
-                data, offer = self._offer(one, call, cell, True, 3000, "", 0)
-                rules.offered(offer)
-                one.wire.write(data)
-                world.run(100_000)
+                    checker.add_violation("not served again", "no connection is taken")
+                    return set(HUB_CELLS)
+                data, offer = self._make_offer(one, call, cell, True, 3000, "", 0)
+                checker.on_offer(offer)
+                one.transport.write(data)
+                env.run(100_000)
                 if "up" in offer.answers:
                     served.add(cell)
-            world.run(700_000)
+            env.run(700_000)
         return served
 
-    def _quiet(self) -> None:
+    def _check_tables_empty(self) -> None:
         """Every call ends; then the tables must be empty."""
-        world, rules, router = self.world, self.rules, self.world.router
+        env, checker, router = self.env, self.checker, self.env.router
         # A call of the exchange's that went out over the exchange has shown its id to nobody.
-        unseen = sum(not ref.isalnum() for ref in rules.standing)
+        unseen = sum(not ref.isalnum() for ref in checker.standing)
         for ref in list(router.standing.legs):
-            stood = rules.standing.get(ref)
-            if stood is None and not unseen:
-                rules.breach("call invented", f"{ref} stands in the router's books alone")
-            unseen -= stood is None
-            if (one := world.caller(90)) is not None:
-                rules.gave_up(ref)
-                one.wire.write(caller.line("down", ref, c=16))
-        world.exchange.drop()
-        rules.excuse_duties()
-        world.run(1_000_000)
-        for number in list(world.callers):
-            if world.callers[number].open:
+            standing_call = checker.standing.get(ref)
+            if standing_call is None and not unseen:
+                checker.add_violation("call invented", f"{ref} stands in the router's books alone")
+            unseen -= standing_call is None
+            if (one := env.caller_connection(90)) is not None:
+                checker.on_caller_release(ref)
+                one.transport.write(caller.encode_message("down", ref, c=16))
+        env.exchange.drop()
+        checker.waive_expectations()
+        env.run(1_000_000)
+        for number in list(env.callers):
+            if env.callers[number].open:
                 self.do_hang(number)
         for _ in range(4):
-            world.run(10_000_000)
-            rules.overdue()
+            env.run(10_000_000)
+            checker.check_overdue()
         tables: dict[str, Any] = {
             "open calls": router.life.open,
             "legs": router.standing.legs,
@@ -888,19 +906,19 @@
             "module's set-ups out": [
                 call for x in router.facade._module.exchanges.values() for call in x.waiting
             ],
-            "greenlets": [None] * (len(world.runtime.alive) - 40),
+            "greenlets": [None] * (len(env.runtime.alive) - 40),
             "deadlines": [None] * (len(router.deadlines._due) - 16),
         }
         for name, table in tables.items():
             if table:
-                rules.breach("table not empty", f"{name}: {len(table)} after 40 quiet seconds")
+                checker.add_violation("table not empty", f"{name}: {len(table)} after 40 quiet seconds")
 
 
-def play(steps: list[Step], thorough: bool = True) -> tuple[list[Breach], dict[str, int]]:
+def run_script(steps: list[Step], thorough: bool = True) -> tuple[list[Violation], dict[str, int]]:
     """Play a script; its breaches, and what it reached."""
-    one = Play()
-    breaches = one.run(steps, thorough)
-    reached = dict(one.rules.counts)
-    for template, count in one.world.lines.templates.items():
+    one = ScriptRunner()
+    violations = one.run(steps, thorough)
+    reached = dict(one.checker.counts)
+    for template, count in one.env.log_recorder.templates.items():
         reached["log: " + template] = count
-    return breaches, reached
+    return violations, reached
--- a/barleywheel/fuzz/shrink.py
+++ b/barleywheel/fuzz/shrink.py
@@ -7,10 +7,10 @@
 from typing import Any
 
 Input = bytes | list[list[Any]]
-SECONDS = 20.0
+SHRINK_SECONDS = 20.0
 
 
-def shrink(found: Input, fails: Callable[[Input], bool], seconds: float = SECONDS) -> Input:
+def shrink(found: Input, fails: Callable[[Input], bool], seconds: float = SHRINK_SECONDS) -> Input:
     """The smallest input reached within the time that still fails; deterministic but for that bound."""
     until = time.monotonic() + seconds
     best, again = found, True
@@ -47,11 +47,11 @@
     for at, step in enumerate(steps):
         for place in range(1, len(step)):
             value = step[place]
-            for other in _below(value):
+            for other in _smaller_values(value):
                 yield [*steps[:at], [*step[:place], other, *step[place + 1 :]], *steps[at + 1 :]]
 
 
-def _below(value: Any) -> list[Any]:
+def _smaller_values(value: Any) -> list[Any]:
     if isinstance(value, bool):
         return [False] if value else []
     if isinstance(value, int):
--- a/barleywheel/fuzz/source.py
+++ b/barleywheel/fuzz/source.py
@@ -16,7 +16,7 @@
         """A whole number from 0 to ``most`` - 1."""
 
 
-class Seeded:
+class SeededSource:
     """From a seed."""
 
     def __init__(self, seed: int | str) -> None:
@@ -27,14 +27,14 @@
         return int(self._random.random() * most)
 
 
-class FromBytes:
+class ByteSource:
     """From bytes, two a choice; when they run out, always 0: so a short input is a short script."""
 
     def __init__(self, data: bytes) -> None:
         self._data, self._at = data, 0
 
     @property
-    def empty(self) -> bool:
+    def exhausted(self) -> bool:
         """Whether the bytes have run out."""
         return self._at >= len(self._data)
 
@@ -46,7 +46,7 @@
         return int.from_bytes(taken, "big") % most
 
 
-class FromHypothesis:
+class HypothesisSource:
     """From hypothesis' draws, which it shrinks by itself. ``data`` is what ``strategies.data`` gives."""
 
     def __init__(self, data: Any, integers: Any) -> None:
@@ -62,7 +62,7 @@
     return options[source.below(len(options))]
 
 
-def weighted(source: Source, options: Sequence[tuple[int, T]]) -> T:
+def pick_weighted(source: Source, options: Sequence[tuple[int, T]]) -> T:
     """One of several, by weights that are whole numbers."""
     at = source.below(sum(weight for weight, _ in options))
     for weight, option in options:
--- a/barleywheel/fuzz/targets.py
+++ b/barleywheel/fuzz/targets.py
@@ -12,16 +12,16 @@
 from barleywheel.core.deadlines import Deadlines
 from barleywheel.facade import Facade
 from barleywheel.fuzz import codecs, module, scripts
-from barleywheel.fuzz.rules import Breach
+from barleywheel.fuzz.rules import Violation
 from barleywheel.fuzz.shrink import Input
 from barleywheel.fuzz.source import Source
 from barleywheel.net.buffer import Buffer
 from barleywheel.net.journal import BROKEN_OFF, Journal
 from barleywheel.standins import caller, exchange
-from barleywheel.virtual import world
+from barleywheel.virtual import environment
 from barleywheel.wire import sip
 
-Result = tuple[list[Breach], dict[str, int]]
+Result = tuple[list[Violation], dict[str, int]]
 
 
 @dataclass(frozen=True)
@@ -29,30 +29,30 @@
     """One target. ``make`` stands where inputs are scripts, ``seeds`` and ``words`` where they are bytes."""
 
     name: str
-    about: str
+    description: str
     run: Callable[[Any], Result]
     make: Callable[[Source], list[list[Any]]] | None = None
     seeds: tuple[bytes, ...] = ()
     words: tuple[bytes, ...] = ()
-    glance: Callable[[Any], Result] | None = None  # a shorter check, for most inputs of a run
+    quick_check: Callable[[Any], Result] | None = None  # a shorter check, for most inputs of a run
 
     def check(self, found: Input) -> Result:
         """Run one input; what raises in the harness itself is a finding as well."""
         try:
             return self.run(found)
         except RecursionError as error:
-            return [Breach("recursion", str(error))], {}
+            return [Violation("recursion", str(error))], {}
 
 
-def _codec(check: Callable[[bytes], list[Breach]]) -> Callable[[bytes], Result]:
+def _byte_check(check: Callable[[bytes], list[Violation]]) -> Callable[[bytes], Result]:
     def run(data: bytes) -> Result:
-        breaches = check(data)
-        return breaches, {breach.rule: 1 for breach in breaches}
+        violations = check(data)
+        return violations, {violation.rule: 1 for violation in violations}
 
     return run
 
 
-class Reads:
+class PieceSocket:
     """A socket that has these pieces to give, then its end."""
 
     def __init__(self, pieces: list[bytes]) -> None:
@@ -73,7 +73,7 @@
         return count
 
 
-class Pool:
+class NullHubPool:
     """Takes the hub list as the real pool does, and keeps nothing."""
 
     def update(self, endpoints: list[Any], whole: bool) -> None:
@@ -82,18 +82,18 @@
 
 def check_http(data: bytes) -> Result:
     """The journal's answers: any bytes are events, or an error after which the poll is opened anew."""
-    conf = world.parsed()
+    conf = environment.base_config()
     reached: dict[str, int] = {}
-    for pieces in ([data], codecs.split(data)):
+    for pieces in ([data], codecs.split_pieces(data)):
         facade = Facade(conf.settings, conf.names, 1, Deadlines())
-        journal = Journal("10.2.0.1:1", facade, Pool())  # type: ignore[arg-type]
+        journal = Journal("10.2.0.1:1", facade, NullHubPool())  # type: ignore[arg-type]
         try:
-            kept = journal._poll(Reads(pieces), Buffer())  # type: ignore[arg-type]
+            kept = journal._poll(PieceSocket(pieces), Buffer())  # type: ignore[arg-type]
             end = f"again: {kept}" if len(pieces) < 2 else "again"
         except BROKEN_OFF as error:
             end = type(error).__name__
         except Exception as error:
-            return [Breach("parser raised", f"{type(error).__name__}: {str(error)[:200]}")], {}
+            return [Violation("parser raised", f"{type(error).__name__}: {str(error)[:200]}")], {}
         reached[end] = 1
     return [], reached
 
@@ -107,7 +107,7 @@
     except config.ConfigError:
         return [], {"refused": 1}
     except Exception as error:
-        return [Breach("parser raised", f"{type(error).__name__}: {str(error)[:200]}")], {}
+        return [Violation("parser raised", f"{type(error).__name__}: {str(error)[:200]}")], {}
 
 
 def check_toml(data: bytes) -> Result:
@@ -117,30 +117,32 @@
     except config.ConfigError:
         return [], {"refused": 1}
     except Exception as error:
-        return [Breach("parser raised", f"{type(error).__name__}: {str(error)[:200]}")], {}
-    play = scripts.Play()
-    play.world.operator = extras
-    breaches = []
+        return [Violation("parser raised", f"{type(error).__name__}: {str(error)[:200]}")], {}
+    runner = scripts.ScriptRunner()
+    runner.env.operator_config = extras
+    violations = []
     try:
-        with play.world:
-            play.world.run(3_000_000)
-            breaches = [Breach("greenlet ended", repr(fault)) for fault in play.world.runtime.faults]
-            breaches += [Breach("logged at ERROR", line) for line in play.world.lines.errors]
+        with runner.env:
+            runner.env.run(3_000_000)
+            violations = [
+                Violation("greenlet ended", repr(error)) for error in runner.env.runtime.uncaught_errors
+            ]
+            violations += [Violation("logged at ERROR", line) for line in runner.env.log_recorder.errors]
     except config.ConfigError:
         return [], {"can't start": 1}
     except Exception as error:
-        return [Breach("start raised", f"{type(error).__name__}: {str(error)[:200]}")], {}
-    return breaches, {"accepted": 1}
+        return [Violation("start raised", f"{type(error).__name__}: {str(error)[:200]}")], {}
+    return violations, {"accepted": 1}
 
 
 @functools.cache
 def _agent() -> Any:
     from barleywheel.snmp.agent import Agent
 
-    play = scripts.Play()
-    play.world.__enter__()
-    agent = Agent(play.world.router, "10.0.0.4:1162", "public")
-    play.world.__exit__()
+    runner = scripts.ScriptRunner()
+    runner.env.__enter__()
+    agent = Agent(runner.env.router, "10.0.0.4:1162", "public")
+    runner.env.__exit__()
     return agent
 
 
@@ -149,18 +151,18 @@
     try:
         answer = _agent().answer(data)
     except Exception as error:
-        return [Breach("parser raised", f"{type(error).__name__}: {str(error)[:200]}")], {}
+        return [Violation("parser raised", f"{type(error).__name__}: {str(error)[:200]}")], {}
     if answer is not None and len(answer) > 65507:
-        return [Breach("answer too large", f"{len(answer)} bytes for {len(data)}")], {}
+        return [Violation("answer too large", f"{len(answer)} bytes for {len(data)}")], {}
     return [], {"answered" if answer else "dropped": 1}
 
 
-def glance(steps: list[list[Any]]) -> Result:
+def quick_check(steps: list[list[Any]]) -> Result:
     """A script without the long spell behind it."""
-    return scripts.play(steps, thorough=False)
+    return scripts.run_script(steps, thorough=False)
 
 
-def circuits(source: Source) -> list[list[Any]]:
+def make_circuit_script(source: Source) -> list[list[Any]]:
     """Scripts of the exchange's link and circuits, with a few calls towards it."""
     steps: list[list[Any]] = [["link", "up"]]
     for _ in range(1 + source.below(40)):
@@ -181,16 +183,18 @@
             "wait",
             "wait",
         )[source.below(15)]
-        step = [kind, *scripts.MAKERS[kind](source)]
+        step = [kind, *scripts.STEP_MAKERS[kind](source)]
         if kind == "new":
-            step[3] = world.EXCHANGE_CELL
+            step[3] = environment.EXCHANGE_CELL
         steps.append(step)
     return steps
 
 
-DATAGRAM = bytes.fromhex("302602010104067075626c6963a019020101020100020100300e300c06082b060102010101000500")
-HTTP = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s"
-EVENTS = json.dumps(
+SNMP_DATAGRAM = bytes.fromhex(
+    "302602010104067075626c6963a019020101020100020100300e300c06082b060102010101000500"
+)
+HTTP_RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s"
+JOURNAL_EVENTS = json.dumps(
     {
         "pos": 2,
         "entries": [
@@ -198,14 +202,17 @@
                 "pos": 1,
                 "hosts": {
                     "snapshot": True,
-                    "endpoints": [world.endpoint("h1"), world.endpoint("h2", "Terminating", 5)],
+                    "endpoints": [
+                        environment.hub_endpoint("h1"),
+                        environment.hub_endpoint("h2", "Terminating", 5),
+                    ],
                 },
             },
-            {"pos": 2, "hosts": {"endpoints": [world.endpoint("h1", "Gone")]}},
+            {"pos": 2, "hosts": {"endpoints": [environment.hub_endpoint("h1", "Gone")]}},
         ],
     }
 ).encode()
-CONFIG = json.dumps(
+PLATFORM_CONFIG = json.dumps(
     {
         "name": "n3",
         "listen": "10.0.0.4:3868",
@@ -213,7 +220,7 @@
         "journal": "10.2.0.1:2379",
         "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 4096},
         "known": {"pos": 0, "entries": []},
-        "settings": world.SETTINGS,
+        "settings": environment.SETTINGS,
     }
 ).encode()
 
@@ -223,11 +230,11 @@
         Target(
             "jsonlines",
             "callers' lines, whole and split",
-            _codec(codecs.check_jsonlines),
+            _byte_check(codecs.check_jsonlines),
             seeds=(
-                caller.setup("9b1f03aa5c7e2d41", 2, b"v=0\r\n\xff\xfe"),
-                caller.line("down", "9b1f03aa5c7e2d41", c=16),
-                caller.line("hb", "1", c=0),
+                caller.encode_setup("9b1f03aa5c7e2d41", 2, b"v=0\r\n\xff\xfe"),
+                caller.encode_message("down", "9b1f03aa5c7e2d41", c=16),
+                caller.encode_message("hb", "1", c=0),
                 b"\n\n{}\n",
             ),
             words=(
@@ -252,7 +259,7 @@
         Target(
             "sip",
             "hubs' messages, whole and split",
-            _codec(codecs.check_sip),
+            _byte_check(codecs.check_sip),
             seeds=(
                 sip.invite("9b1f03aa5c7e2d41", 1, "7f3a", "voice", 1500, b"v=0\r\n"),
                 b"SIP/2.0 200 OK\r\nVia: SIP/2.0/TCP p\r\nCall-ID: 9b1f03aa5c7e2d41\r\nCSeq: 1 INVITE\r\n"
@@ -282,11 +289,11 @@
         Target(
             "m3ua",
             "exchanges' messages, whole and split, with the ISUP in them",
-            _codec(codecs.check_m3ua),
+            _byte_check(codecs.check_m3ua),
             seeds=(
-                exchange.iam(1, b"v=0"),
-                exchange.anm(2, b"v=0"),
-                exchange.rel(3, 41),
+                exchange.encode_iam(1, b"v=0"),
+                exchange.encode_anm(2, b"v=0"),
+                exchange.encode_rel(3, 41),
                 exchange.encode(exchange.ASPUP, {0x11: b"\0\0\0\1"}),
                 exchange.encode(exchange.DUNA, {0x12: b"\0\0\0\xc8"}),
             ),
@@ -295,15 +302,15 @@
         Target(
             "isup",
             "one ISUP message",
-            _codec(codecs.check_isup),
+            _byte_check(codecs.check_isup),
             seeds=tuple(
                 whole[36:]
                 for whole in (
-                    exchange.iam(1, b"v=0"),
-                    exchange.anm(2, b"v=0"),
-                    exchange.rel(3, 41),
-                    exchange.transfer(1, 16),
-                    exchange.transfer(1, 18),
+                    exchange.encode_iam(1, b"v=0"),
+                    exchange.encode_anm(2, b"v=0"),
+                    exchange.encode_rel(3, 41),
+                    exchange.encode_data(1, 16),
+                    exchange.encode_data(1, 18),
                 )
             ),
             words=(b"\x20", b"\x00", b"\xff", b"\x02\x0a"),
@@ -312,7 +319,7 @@
             "snmp",
             "the agent's datagrams",
             check_snmp,
-            seeds=(DATAGRAM,),
+            seeds=(SNMP_DATAGRAM,),
             words=(
                 b"\x30\x80",
                 b"\x06\x08",
@@ -328,7 +335,7 @@
             "the journal's answers",
             check_http,
             seeds=(
-                HTTP % (len(EVENTS), EVENTS),
+                HTTP_RESPONSE % (len(JOURNAL_EVENTS), JOURNAL_EVENTS),
                 b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\n{}\r\n0\r\n\r\n",
             ),
             words=(
@@ -350,7 +357,7 @@
             "config",
             "the platform's configuration",
             check_config,
-            seeds=(CONFIG,),
+            seeds=(PLATFORM_CONFIG,),
             words=(
                 b"1e999",
                 b"null",
@@ -369,7 +376,7 @@
             "toml",
             "the operator's file, and a start with it",
             check_toml,
-            seeds=(world.EXTRAS.encode(),),
+            seeds=(environment.OPERATOR_TOML.encode(),),
             words=(
                 b"1e999",
                 b"nan",
@@ -389,14 +396,25 @@
                 b"= 0\n",
             ),
         ),
-        Target("module", "the decision module, in any order of legal events", module.play, module.make),
-        Target("circuits", "one exchange's link and circuits", scripts.play, circuits, glance=glance),
+        Target(
+            "module",
+            "the decision module, in any order of legal events",
+            module.run_script,
+            module.make_script,
+        ),
+        Target(
+            "circuits",
+            "one exchange's link and circuits",
+            scripts.run_script,
+            make_circuit_script,
+            quick_check=quick_check,
+        ),
         Target(
             "router",
             "the whole router: callers, hubs, journal, exchange, agent, signals",
-            scripts.play,
-            scripts.make,
-            glance=glance,
+            scripts.run_script,
+            scripts.make_script,
+            quick_check=quick_check,
         ),
     )
 }
--- a/barleywheel/fuzz/worker.py
+++ b/barleywheel/fuzz/worker.py
@@ -13,57 +13,63 @@
 from typing import Any
 
 from barleywheel.fuzz import corpus
-from barleywheel.fuzz.engine import Finding, Fuzzing, Reached, hypothesis_run, smallest
+from barleywheel.fuzz.engine import Finding, FuzzProgress, FuzzSession, hypothesis_run, shrink_finding
 from barleywheel.fuzz.targets import TARGETS, Target
 
 
-def say(**news: Any) -> None:
+def send_message(**news: Any) -> None:
     """One line of news."""
     sys.stdout.write(json.dumps(news) + "\n")
     sys.stdout.flush()
 
 
-def finding(found: Finding) -> None:
+def report_finding(found: Finding) -> None:
     """News of a finding."""
-    say(finding=found.rule, target=found.target, seen=found.seen, **corpus.to_json(found.input))
+    send_message(finding=found.rule, target=found.target, seen=found.seen, **corpus.to_json(found.input))
 
 
-def progress(target: Target, done: Reached) -> None:
+def report_progress(target: Target, done: FuzzProgress) -> None:
     """News of how far a target is."""
-    say(target=target.name, inputs=done.inputs, seconds=done.seconds, reached=len(done.features))
+    send_message(target=target.name, inputs=done.inputs, seconds=done.seconds, reached=len(done.features))
 
 
-def seeded(target: Target, seed: int, seconds: float, inputs: int, kept: list[corpus.Kept]) -> None:
+def fuzz_seeded(
+    target: Target, seed: int, seconds: float, inputs: int, entries: list[corpus.CorpusEntry]
+) -> None:
     """The engine of our own."""
-    fuzzing, told = Fuzzing(target, seed, kept), set()
+    session, told = FuzzSession(target, seed, entries), set()
 
-    def tell(done: Reached) -> None:
-        progress(target, done)
+    def report(done: FuzzProgress) -> None:
+        report_progress(target, done)
         for rule, found in done.findings.items():
             if rule not in told:
                 told.add(rule)
-                finding(found)
+                report_finding(found)
 
-    done = fuzzing.run(seconds, inputs, tell)
-    say(target=target.name, kept=[{"note": one.note, **corpus.to_json(one.input)} for one in done.kept])
+    done = session.run(seconds, inputs, report)
+    send_message(
+        target=target.name, kept=[{"note": one.note, **corpus.to_json(one.input)} for one in done.entries]
+    )
 
 
-def by_hypothesis(target: Target, seed: int, seconds: float) -> None:
+def fuzz_with_hypothesis(target: Target, seed: int, seconds: float) -> None:
     """hypothesis' engine, for scripts."""
     start = time.monotonic()
     for news in hypothesis_run(target, seconds, seed):
         if isinstance(news, Finding):
-            finding(news)
+            report_finding(news)
         else:
-            progress(target, Reached(news, time.monotonic() - start))
+            report_progress(target, FuzzProgress(news, time.monotonic() - start))
 
 
-def by_atheris(target: Target, seed: int, seconds: float, kept: list[corpus.Kept], folder: Path) -> None:
+def fuzz_with_atheris(
+    target: Target, seed: int, seconds: float, entries: list[corpus.CorpusEntry], folder: Path
+) -> None:
     """atheris' engine, for bytes: guided by the lines that an input reaches. Does not return."""
     import atheris
 
     folder.mkdir(parents=True, exist_ok=True)
-    for at, data in enumerate([one.input for one in kept] + list(target.seeds)):
+    for at, data in enumerate([one.input for one in entries] + list(target.seeds)):
         if isinstance(data, bytes):
             (folder / f"seed{at:04}").write_bytes(data)
     words = folder.parent / f"{target.name}.dict"
@@ -74,19 +80,19 @@
             if len(word) < 64
         )
     )
-    done, start, told = Reached(), time.monotonic(), [0.0]
+    done, start, told = FuzzProgress(), time.monotonic(), [0.0]
 
     def one(data: bytes) -> None:
-        breaches, _ = target.check(data)
+        violations, _ = target.check(data)
         done.inputs += 1
         now = time.monotonic()
-        for breach in breaches[:1]:
-            if breach.rule not in done.findings:
-                found = done.findings[breach.rule] = smallest(target, data, breach, 5.0)
-                finding(found)
+        for violation in violations[:1]:
+            if violation.rule not in done.findings:
+                found = done.findings[violation.rule] = shrink_finding(target, data, violation, 5.0)
+                report_finding(found)
         if now - told[0] > 0.5:
             told[0], done.seconds = now, now - start
-            progress(target, done)
+            report_progress(target, done)
 
     atheris.Setup(
         [
@@ -108,14 +114,14 @@
     """Work as the one argument, a JSON object, says."""
     order = json.loads(sys.argv[1])
     target, seed, seconds = TARGETS[order["target"]], order["seed"], order["seconds"]
-    kept = corpus.load(Path(order["corpus"]) / f"{target.name}.jsonl") if order["corpus"] else []
+    entries = corpus.load(Path(order["corpus"]) / f"{target.name}.jsonl") if order["corpus"] else []
     match order["engine"]:
         case "atheris":
-            by_atheris(target, seed, seconds, kept, Path(order["folder"]))
+            fuzz_with_atheris(target, seed, seconds, entries, Path(order["folder"]))
         case "hypothesis":
-            by_hypothesis(target, seed, seconds)
+            fuzz_with_hypothesis(target, seed, seconds)
         case _:
-            seeded(target, seed, seconds, order["inputs"], kept)
+            fuzz_seeded(target, seed, seconds, order["inputs"], entries)
 
 
 if __name__ == "__main__":
--- a/barleywheel/standins/__init__.py
+++ b/barleywheel/standins/__init__.py
@@ -1,8 +1,8 @@
 """What the router serves and is served by, as plain models: callers, build hubs, the journal, M3UA exchanges.
 
 Each is a state machine free of I/O and clock, with a strict codec of its own that shares nothing with
-``barleywheel.wire``. A model is told bytes and writes bytes on a ``Line``; what it hears is told to a
-``Watcher``. Whoever drives it (``barleywheel.virtual.world`` in memory) owns sockets and time.
+``barleywheel.wire``. A model is told bytes and writes bytes on a ``Transport``; what it hears is told to a
+``HubObserver``. Whoever drives it (``barleywheel.virtual.environment`` in memory) owns sockets and time.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 from typing import Protocol
 
 
-class Line(Protocol):
+class Transport(Protocol):
     """A model's end of a stream."""
 
     def write(self, data: bytes) -> bool:
@@ -21,8 +21,8 @@
         """End the stream."""
 
 
-Later = Callable[[int, Callable[[], object]], None]  # run this so many microseconds from now
+Scheduler = Callable[[int, Callable[[], object]], None]  # run this so many microseconds from now
 
 
-class Broken(Exception):
+class ProtocolError(Exception):
     """The router wrote what its peers could not read, or what no peer expects."""
--- a/barleywheel/virtual/world.py
+++ b/barleywheel/virtual/environment.py
@@ -15,34 +15,39 @@
 from barleywheel.net.sockets import Address
 from barleywheel.router import Router
 from barleywheel.standins import caller, exchange, hub, journal
-from barleywheel.virtual.network import Party, VirtualNetwork, Wire
+from barleywheel.virtual.network import PeerSocket, StreamHandler, VirtualNetwork
 from barleywheel.virtual.runtime import VirtualRuntime
 from barleywheel.wire import journal as journal_wire
 
 START_US = 1_700_000_000_000_000
-LISTEN: Address = ("10.0.0.4", 3868)
-LINKS: Address = ("10.0.0.4", 2905)
-AGENT: Address = ("10.0.0.4", 1161)
-JOURNALS: tuple[Address, Address] = (("10.2.0.1", 2379), ("10.2.0.2", 2379))
-HOME, CELLS, EXCHANGE_CELL = 0, (1, 2, 3), 4
-AIMS_US = {"voice": 1_200_000, "gold": 800_000}
-DEADLINES_US = {"voice": 9_000_000, "gold": 6_000_000}
-MOST_ATTEMPTS, GUARD_US = 4, 300_000
+CALLER_LISTEN_ADDRESS: Address = ("10.0.0.4", 3868)
+M3UA_LISTEN_ADDRESS: Address = ("10.0.0.4", 2905)
+SNMP_LISTEN_ADDRESS: Address = ("10.0.0.4", 1161)
+JOURNAL_ADDRESSES: tuple[Address, Address] = (("10.2.0.1", 2379), ("10.2.0.2", 2379))
+HOME_CELL, HUB_CELLS, EXCHANGE_CELL = 0, (1, 2, 3), 4
+AIM_US_BY_CLASS = {"voice": 1_200_000, "gold": 800_000}
+DEADLINE_US_BY_CLASS = {"voice": 9_000_000, "gold": 6_000_000}
+MAX_ATTEMPTS, GUARD_US = 4, 300_000
 SETTINGS: dict[str, Any] = {
     "balancers": 3,
     "classes": [
-        {"name": name, "aim_us": AIMS_US[name], "hard_limit_us": DEADLINES_US[name], "worth": worth}
+        {
+            "name": name,
+            "aim_us": AIM_US_BY_CLASS[name],
+            "hard_limit_us": DEADLINE_US_BY_CLASS[name],
+            "worth": worth,
+        }
         for name, worth in (("voice", 1.0), ("gold", 8.0))
     ],
-    "family_info": {"home_no": HOME, "layout": "mesh", "guard_us": GUARD_US},
-    "limits": {"cancel": True, "send_cap": MOST_ATTEMPTS, "connect_timeout_us": 300_000},
+    "family_info": {"home_no": HOME_CELL, "layout": "mesh", "guard_us": GUARD_US},
+    "limits": {"cancel": True, "send_cap": MAX_ATTEMPTS, "connect_timeout_us": 300_000},
     "contract": {"cold_from": 0.3, "cold_us": 10_000_000, "tip_multiple": 2.0, "fall_us": 2_000_000},
     "report": {"fields": ["free", "size", "pending", "can_take"], "how": "answers"},
     "tick_us": 5000,
     "zones": ["east"],
     "kinds": ["std"],
 }
-EXTRAS = """
+OPERATOR_TOML = """
 [m3ua]
 listen = "10.0.0.4:2905"
 point_code = 100
@@ -62,14 +67,14 @@
 """
 
 
-def address_of(name: str) -> Address:
+def hub_address(name: str) -> Address:
     """Where a hub listens: by its cell, so that a replacement has its predecessor's address."""
     return (f"10.1.0.{name[1]}", 5060)
 
 
-def endpoint(name: str, status: str = "Ready", since_ms: int = 0) -> dict[str, Any]:
+def hub_endpoint(name: str, status: str = "Ready", since_ms: int = 0) -> dict[str, Any]:
     """A hub as the journal tells it; its name is ``h``, its cell and what tells it from others there."""
-    host, port = address_of(name)
+    host, port = hub_address(name)
     return {
         "name": name,
         "address": f"{host}:{port}",
@@ -83,28 +88,28 @@
 
 
 @cache
-def parsed() -> config.Config:
+def base_config() -> config.Config:
     """The configuration without its events, parsed once."""
     raw = {
         "name": "n0",
         "seed": "1",
         "limits": {"sockets": 64, "memory_mb": 64},
-        "listen": f"{LISTEN[0]}:{LISTEN[1]}",
-        "journal": f"{JOURNALS[0][0]}:{JOURNALS[0][1]}",
+        "listen": f"{CALLER_LISTEN_ADDRESS[0]}:{CALLER_LISTEN_ADDRESS[1]}",
+        "journal": f"{JOURNAL_ADDRESSES[0][0]}:{JOURNAL_ADDRESSES[0][1]}",
         "settings": SETTINGS,
     }
     return config.parse(json.dumps(raw).encode(), "world", {})
 
 
 @cache
-def extras() -> config.Extras:
+def default_operator_config() -> config.Extras:
     """The operator's file."""
-    return config.parse_extras(EXTRAS.encode(), "world")
+    return config.parse_extras(OPERATOR_TOML.encode(), "world")
 
 
-def configured(journal_address: Address, known: dict[str, Any], seed: int) -> config.Config:
+def make_config(journal_address: Address, known: dict[str, Any], seed: int) -> config.Config:
     """The configuration as one start or reload reads it."""
-    conf = parsed()
+    conf = base_config()
     return config.Config(
         conf.name,
         conf.listen,
@@ -118,7 +123,7 @@
     )
 
 
-class Lines(logging.Handler):
+class LogRecorder(logging.Handler):
     """What the router logs, by its templates; and whatever is at ERROR or above, in full."""
 
     def __init__(self) -> None:
@@ -132,63 +137,63 @@
         template = str(record.msg)
         self.templates[template] = self.templates.get(template, 0) + 1
         if record.levelno >= logging.ERROR:
-            fault = record.exc_info[1] if record.exc_info else None
-            self.errors.append(f"{message}: {fault!r}" if fault else message)
+            error = record.exc_info[1] if record.exc_info else None
+            self.errors.append(f"{message}: {error!r}" if error else message)
         return True
 
 
-class World:
+class VirtualEnvironment:
     """The router and everything round it. ``entered`` gives it time and sockets; ``run`` lets time pass.
 
-    ``watcher`` hears of hubs, ``heard`` of callers' lines, ``isup`` of the exchange's messages.
+    ``observer`` hears of hubs, ``on_message`` of callers' lines, ``on_isup`` of the exchange's messages.
     """
 
     def __init__(
         self,
         seed: int,
-        watcher: hub.Watcher,
-        heard: caller.Heard,
-        hung: Callable[[caller.Caller, bool], None],
-        isup: exchange.Heard,
+        observer: hub.HubObserver,
+        on_message: caller.MessageHandler,
+        on_close: Callable[[caller.Caller, bool], None],
+        on_isup: exchange.MessageHandler,
     ) -> None:
         self.seed = seed
         self.runtime = VirtualRuntime(START_US, seed)
         self.network = VirtualNetwork(self.runtime)
-        self.lines = Lines()
-        self.watcher, self._heard, self._hung = watcher, heard, hung
+        self.log_recorder = LogRecorder()
+        self.observer, self._on_message, self._on_close = observer, on_message, on_close
         self.journal = journal.Journal(self.runtime.after)
         self.hubs: dict[str, hub.Hub] = {}
         self.callers: dict[int, caller.Caller] = {}
-        self.dialled = 0
-        self.exchange = exchange.Exchange(isup)
-        self.journal_at = 0
+        self.connections_made = 0
+        self.exchange = exchange.Exchange(on_isup)
+        self.journal_index = 0
         self._stack = ExitStack()
         self.router: Router
-        self.left = False
-        self.operator = extras()
+        self.terminated = False
+        self.operator_config = default_operator_config()
 
-    def __enter__(self) -> World:
+    def __enter__(self) -> VirtualEnvironment:
         self._stack.enter_context(core_runtime.using(self.runtime))
         self._stack.enter_context(sockets.using(self.network))
         logger = logging.getLogger("barleywheel")
         before = logger.level, logger.propagate
         logger.setLevel(logging.INFO)
         logger.propagate = False
-        logger.addHandler(self.lines)
+        logger.addHandler(self.log_recorder)
 
         def restore() -> None:
-            logger.removeHandler(self.lines)
+            logger.removeHandler(self.log_recorder)
             logger.setLevel(before[0])
             logger.propagate = before[1]
 
         self._stack.callback(restore)
-        self._stack.callback(self.runtime.end)
-        for cell in (HOME, *CELLS, EXCHANGE_CELL):
-            self.add(f"h{cell}")
-        self.journal.tell([endpoint(name) for name in self.hubs], snapshot=True)
-        self.network.hosts[JOURNALS[0]] = self.journal.connected
-        conf = configured(JOURNALS[0], self.journal.after(0), self.seed)
-        self.router = Router(conf, self.operator, self.load)
+        self._stack.callback(self.runtime.stop)
+        for cell in (HOME_CELL, *HUB_CELLS, EXCHANGE_CELL):
+            self.add_hub(f"h{cell}")
+        self.journal.publish([hub_endpoint(name) for name in self.hubs], snapshot=True)
+        self.network.hosts[JOURNAL_ADDRESSES[0]] = self.journal.accept_connection
+        conf = make_config(JOURNAL_ADDRESSES[0], self.journal.entries_after(0), self.seed)
+        self.router = Router(conf, self.operator_config, self.load_config)
         self.router.start(conf)
         self.run(0)
         return self
@@ -205,50 +210,53 @@
         """Let time pass."""
         self.runtime.run(us)
 
-    def load(self) -> config.Config:
+    def load_config(self) -> config.Config:
         """What a reload reads."""
-        if self.journal_at < 0:
+        if self.journal_index < 0:
             raise config.ConfigError("world: no JSON")
-        return configured(JOURNALS[self.journal_at], self.journal.after(0), self.seed)
+        return make_config(JOURNAL_ADDRESSES[self.journal_index], self.journal.entries_after(0), self.seed)
 
-    def add(self, name: str) -> hub.Hub:
+    def add_hub(self, name: str) -> hub.Hub:
         """A hub that listens at its cell's address."""
-        made = self.hubs[name] = hub.Hub(name, int(name[1]), self.watcher, self.runtime.after)
-        self.network.hosts[address_of(name)] = made.connected
+        made = self.hubs[name] = hub.Hub(name, int(name[1]), self.observer, self.runtime.after)
+        self.network.hosts[hub_address(name)] = made.accept_connection
         return made
 
-    def caller(self, number: int) -> caller.Caller | None:
+    def caller_connection(self, number: int) -> caller.Caller | None:
         """An open connection from callers, dialled where there is none; None where nobody listens."""
         found = self.callers.get(number)
         if found is not None and found.open:
             return found
-        self.dialled += 1
+        self.connections_made += 1
 
-        def party(wire: Wire) -> Party:
-            made = self.callers[number] = caller.Caller(number, wire, self._heard, self._hung)
+        def make_handler(peer_socket: PeerSocket) -> StreamHandler:
+            made = self.callers[number] = caller.Caller(number, peer_socket, self._on_message, self._on_close)
             return made
 
-        dialled = self.network.dial(LISTEN, (f"10.3.0.{number + 1}", 40000 + self.dialled), party)
-        return self.callers[number] if dialled is not None else None
+        connected = self.network.connect_to_router(
+            CALLER_LISTEN_ADDRESS, (f"10.3.0.{number + 1}", 40000 + self.connections_made), make_handler
+        )
+        return self.callers[number] if connected is not None else None
 
-    def link(self) -> bool:
+    def connect_link(self) -> bool:
         """The exchange's link, dialled where there is none."""
         return (
-            self.exchange.wire is not None
-            or self.network.dial(LINKS, ("10.4.0.1", 50000), self.exchange.attached) is not None
+            self.exchange.transport is not None
+            or self.network.connect_to_router(M3UA_LISTEN_ADDRESS, ("10.4.0.1", 50000), self.exchange.attach)
+            is not None
         )
 
     def move_journal(self) -> None:
         """The journal moves to its other address; the numbers go on."""
-        self.network.hosts.pop(JOURNALS[max(0, self.journal_at)], None)
-        self.journal_at = 1 - max(0, self.journal_at)
-        self.network.hosts[JOURNALS[self.journal_at]] = self.journal.connected
+        self.network.hosts.pop(JOURNAL_ADDRESSES[max(0, self.journal_index)], None)
+        self.journal_index = 1 - max(0, self.journal_index)
+        self.network.hosts[JOURNAL_ADDRESSES[self.journal_index]] = self.journal.accept_connection
 
-    def leave(self) -> None:
+    def terminate(self) -> None:
         """SIGTERM."""
 
-        def leaving() -> None:
+        def terminate_router() -> None:
             self.router.leave()
-            self.left = True
+            self.terminated = True
 
-        self.runtime.spawn(leaving)
+        self.runtime.spawn(terminate_router)
--- a/barleywheel/virtual/network.py
+++ b/barleywheel/virtual/network.py
@@ -12,28 +12,28 @@
 from typing import Any, Protocol
 
 from barleywheel.net.sockets import Address
-from barleywheel.standins import Broken
+from barleywheel.standins import ProtocolError
 from barleywheel.virtual.runtime import VirtualRuntime, Waiter
 
-WINDOW = 64 * 1024  # what a stream takes from a writer whose peer does not read
+WINDOW_BYTES = 64 * 1024  # what a stream takes from a writer whose peer does not read
 
 
-class Party(Protocol):
-    """A model's side of one stream: told what comes; it writes and closes by its ``Wire``."""
+class StreamHandler(Protocol):
+    """A model's side of one stream: told what comes; it writes and closes by its ``PeerSocket``."""
 
-    def received(self, data: bytes) -> None:
+    def data_received(self, data: bytes) -> None:
         """Bytes came."""
 
-    def closed(self, reset: bool) -> None:
+    def connection_lost(self, reset: bool) -> None:
         """The other side ended the stream."""
 
 
-class Wire:
+class PeerSocket:
     """How a model holds a stream: write, close, and stop reading for a while."""
 
     def __init__(self, network: VirtualNetwork, address: Address) -> None:
         self._network, self.address = network, address  # the address is that of the model's end
-        self.party: Party | None = None
+        self.handler: StreamHandler | None = None
         self.open = True
         self.stream = Stream(network.runtime, self)
         self.reading, self.silent = True, False
@@ -44,7 +44,7 @@
         if not self.open:
             return False
         if not self.silent:
-            self.stream.arrive(data)
+            self.stream.deliver(data)
         return True
 
     def close(self, reset: bool = False) -> None:
@@ -52,47 +52,47 @@
         if self.open:
             self.open = False
             if not self.silent:
-                self.stream.end(reset)
+                self.stream.close_from_peer(reset)
 
-    def read_on(self, reading: bool) -> None:
+    def set_reading(self, reading: bool) -> None:
         """Stop reading, or go on."""
         self.reading = reading
         if reading:
             self._unread = 0
-            self.stream.may_write()
+            self.stream.wake_writers()
 
     # From the stream.
 
-    def room(self) -> int:
+    def free_window(self) -> int:
         """How much the parts may write now."""
-        return WINDOW - self._unread
+        return WINDOW_BYTES - self._unread
 
-    def take(self, data: bytes) -> None:
+    def on_data(self, data: bytes) -> None:
         """The parts wrote this."""
         if self.silent:
             return
         if not self.reading:
             self._unread += len(data)  # it has left the parts: whoever watches is told
-        if self.open and self.party is not None:
+        if self.open and self.handler is not None:
             try:
-                self.party.received(data)
-            except Broken as error:  # the model's complaint, not the writer's fault to handle
-                self._network.complaints.append(str(error))
+                self.handler.data_received(data)
+            except ProtocolError as error:  # the model's complaint, not the writer's fault to handle
+                self._network.protocol_errors.append(str(error))
 
-    def ended(self, reset: bool) -> None:
+    def on_close(self, reset: bool) -> None:
         """The parts closed."""
         if self.open and not self.silent:
             self.open = False
-            if self.party is not None:
-                self.party.closed(reset)
+            if self.handler is not None:
+                self.handler.connection_lost(reset)
 
 
 class Stream:
     """The parts' end of a stream, as ``net.sockets.Socket``."""
 
-    def __init__(self, runtime: VirtualRuntime, wire: Wire) -> None:
-        self.runtime, self.wire = runtime, wire
-        self._come: deque[bytes] = deque()
+    def __init__(self, runtime: VirtualRuntime, peer_socket: PeerSocket) -> None:
+        self.runtime, self.peer_socket = runtime, peer_socket
+        self._incoming: deque[bytes] = deque()
         self._eof = self._reset = self._closed = False
         self._timeout: float | None = None
         self._reader: Waiter | None = None
@@ -100,21 +100,21 @@
 
     # The model's side.
 
-    def arrive(self, data: bytes) -> None:
+    def deliver(self, data: bytes) -> None:
         """Bytes for the parts."""
         if data and not self._closed:
-            self._come.append(data)
+            self._incoming.append(data)
             self._wake()
 
-    def end(self, reset: bool) -> None:
+    def close_from_peer(self, reset: bool) -> None:
         """The model ended the stream; a reset takes what was not read with it."""
         self._eof, self._reset = True, reset
         if reset:
-            self._come.clear()
+            self._incoming.clear()
         self._wake()
-        self.may_write()
+        self.wake_writers()
 
-    def may_write(self) -> None:
+    def wake_writers(self) -> None:
         """There is room again."""
         for writer in self._writers:
             writer.wake()
@@ -133,8 +133,8 @@
 
     def recv_into(self, buffer: memoryview) -> int:
         """See ``Socket``."""
-        while not self._come:
-            self._usable()
+        while not self._incoming:
+            self._check_open()
             if self._reset:
                 raise ConnectionResetError(errno.ECONNRESET, "reset")
             if self._eof:
@@ -143,24 +143,24 @@
             if not waiter.wait(self._timeout):
                 self._reader = None
                 raise TimeoutError("timed out")
-        self._usable()
-        data = self._come.popleft()
+        self._check_open()
+        data = self._incoming.popleft()
         count = min(len(data), len(buffer))
         buffer[:count] = data[:count]
         if count < len(data):
-            self._come.appendleft(data[count:])
+            self._incoming.appendleft(data[count:])
         return count
 
     def send(self, data: bytes | bytearray, flags: int = 0, timeout: float | None = None) -> int:
         """See ``Socket``."""
         while True:
-            self._usable()
+            self._check_open()
             if self._eof:
                 raise BrokenPipeError(errno.EPIPE, "gone")
-            room = self.wire.room()
-            if room > 0:
-                self.wire.take(bytes(data[:room]))
-                return min(room, len(data))
+            free_window = self.peer_socket.free_window()
+            if free_window > 0:
+                self.peer_socket.on_data(bytes(data[:free_window]))
+                return min(free_window, len(data))
             if timeout == 0.0:
                 raise BlockingIOError(errno.EAGAIN, "no room")
             waiter = Waiter(self.runtime)
@@ -177,13 +177,13 @@
         """See ``Socket``."""
         if not self._closed:
             self._closed = True
-            unread = bool(self._come)
-            self._come.clear()
+            unread = bool(self._incoming)
+            self._incoming.clear()
             self._wake()
-            self.may_write()
-            self.wire.ended(unread)
+            self.wake_writers()
+            self.peer_socket.on_close(unread)
 
-    def _usable(self) -> None:
+    def _check_open(self) -> None:
         if self._closed:
             raise OSError(errno.EBADF, "closed")
 
@@ -193,127 +193,132 @@
 
     def __init__(self, network: VirtualNetwork, address: Address, backlog: int) -> None:
         self._network, self.address, self.backlog = network, address, backlog
-        self._come: deque[Wire] = deque()
+        self._incoming: deque[PeerSocket] = deque()
         self._reader: Waiter | None = None
         self._closed = False
-        self.failing = 0  # so many accepts fail for want of descriptors
+        self.accept_failures = 0  # so many accepts fail for want of descriptors
 
-    def arrive(self, wire: Wire) -> bool:
+    def add_pending(self, peer_socket: PeerSocket) -> bool:
         """Somebody connects; False where nobody listens or the backlog is full."""
-        if self._closed or len(self._come) >= self.backlog:
+        if self._closed or len(self._incoming) >= self.backlog:
             return False
-        self._come.append(wire)
+        self._incoming.append(peer_socket)
         if self._reader is not None:
             self._reader.wake()
         return True
 
     def accept(self) -> tuple[Stream, Address]:
         """See ``Listener``."""
-        while not self._come and not self._closed:
+        while not self._incoming and not self._closed:
             self._reader = Waiter(self._network.runtime)
             self._reader.wait(None)
             self._reader = None
         if self._closed:
             raise OSError(errno.EBADF, "closed")
-        if self.failing:
-            self.failing -= 1
+        if self.accept_failures:
+            self.accept_failures -= 1
             raise OSError(errno.EMFILE, "too many open files")
-        wire = self._come.popleft()
-        return wire.stream, wire.address
+        peer_socket = self._incoming.popleft()
+        return peer_socket.stream, peer_socket.address
 
     def close(self) -> None:
         """See ``Listener``."""
         self._closed = True
         self._network.listeners.pop(self.address, None)
-        for wire in self._come:
-            wire.stream.close()
+        for peer_socket in self._incoming:
+            peer_socket.stream.close()
         if self._reader is not None:
             self._reader.wake()
 
 
 class VirtualDatagrams:
-    """See ``net.sockets.Datagrams``. What the parts send is handed to ``heard``."""
+    """See ``net.sockets.Datagrams``. What the parts send is handed to ``on_datagram``."""
 
     def __init__(self, network: VirtualNetwork) -> None:
         self._network = network
-        self._come: deque[tuple[bytes, Address]] = deque()
+        self._incoming: deque[tuple[bytes, Address]] = deque()
         self._reader: Waiter | None = None
-        self.heard: Callable[[bytes, Address], None] | None = None
+        self.on_datagram: Callable[[bytes, Address], None] | None = None
 
-    def arrive(self, data: bytes, address: Address) -> None:
+    def deliver(self, data: bytes, address: Address) -> None:
         """A datagram for the parts."""
-        self._come.append((data, address))
+        self._incoming.append((data, address))
         if self._reader is not None:
             self._reader.wake()
 
     def recvfrom(self, most: int) -> tuple[bytes, Address]:
         """See ``Datagrams``."""
-        while not self._come:
+        while not self._incoming:
             self._reader = Waiter(self._network.runtime)
             self._reader.wait(None)
             self._reader = None
-        data, address = self._come.popleft()
+        data, address = self._incoming.popleft()
         return data[:most], address
 
     def sendto(self, data: bytes, address: Address) -> int:
         """See ``Datagrams``."""
         if len(data) > 65507:
             raise OSError(errno.EMSGSIZE, "message too long")
-        if self.heard is not None:
-            self.heard(data, address)
+        if self.on_datagram is not None:
+            self.on_datagram(data, address)
         return len(data)
 
 
 class VirtualNetwork:
     """Addresses and who is behind them. ``hosts`` has an entry for each address that the parts may reach.
 
-    A host takes a ``Wire`` and returns its ``Party``; None for "refused". An address in ``cut_off`` answers
-    nothing, and one that is nowhere refuses.
+    A host takes a ``PeerSocket`` and returns its ``StreamHandler``; None for "refused". An address in
+    ``unreachable`` answers nothing, and one that is nowhere refuses.
     """
 
     def __init__(self, runtime: VirtualRuntime) -> None:
         self.runtime = runtime
-        self.hosts: dict[Address, Callable[[Wire], Party | None]] = {}
-        self.cut_off: set[Address] = set()
+        self.hosts: dict[Address, Callable[[PeerSocket], StreamHandler | None]] = {}
+        self.unreachable: set[Address] = set()
         self.listeners: dict[Address, VirtualListener] = {}
-        self.bound: dict[Address, VirtualDatagrams] = {}
-        self.complaints: list[str] = []  # what models could not read
+        self.datagram_sockets: dict[Address, VirtualDatagrams] = {}
+        self.protocol_errors: list[str] = []  # what models could not read
 
     def connect(self, address: Address, timeout_s: float) -> Stream:
         """See ``Network``."""
-        if address in self.cut_off:
+        if address in self.unreachable:
             self.runtime.sleep(timeout_s)
             raise TimeoutError("timed out")
         self.runtime.sleep(0)
         host = self.hosts.get(address)
-        wire = Wire(self, address)
-        party = host(wire) if host is not None and address not in self.cut_off else None
-        if party is None:
+        peer_socket = PeerSocket(self, address)
+        handler = host(peer_socket) if host is not None and address not in self.unreachable else None
+        if handler is None:
             raise ConnectionRefusedError(errno.ECONNREFUSED, "refused")
-        wire.party = party
-        return wire.stream
+        peer_socket.handler = handler
+        return peer_socket.stream
 
     def listen(self, address: Address, backlog: int) -> VirtualListener:
         """See ``Network``."""
         if address in self.listeners:
             raise OSError(errno.EADDRINUSE, "in use")
-        made = self.listeners[address] = VirtualListener(self, address, backlog)
-        return made
+        listener = self.listeners[address] = VirtualListener(self, address, backlog)
+        return listener
 
     def datagrams(self, address: Address) -> VirtualDatagrams:
         """See ``Network``."""
-        made = self.bound[address] = VirtualDatagrams(self)
-        return made
+        sock = self.datagram_sockets[address] = VirtualDatagrams(self)
+        return sock
 
     def unread(self, sock: Any) -> int:
         """See ``Network``."""
-        return sum(map(len, sock._come))
-
-    def dial(self, to: Address, own: Address, party: Callable[[Wire], Party]) -> Party | None:
+        return sum(map(len, sock._incoming))
+
+    def connect_to_router(
+        self,
+        listen_address: Address,
+        own_address: Address,
+        make_handler: Callable[[PeerSocket], StreamHandler],
+    ) -> StreamHandler | None:
         """A model connects to the parts; None where nobody listens."""
-        listener = self.listeners.get(to)
+        listener = self.listeners.get(listen_address)
         if listener is None:
             return None
-        wire = Wire(self, own)
-        wire.party = made = party(wire)
-        return made if listener.arrive(wire) else None
+        peer_socket = PeerSocket(self, own_address)
+        peer_socket.handler = handler = make_handler(peer_socket)
+        return handler if listener.add_pending(peer_socket) else None
--- a/barleywheel/virtual/runtime.py
+++ b/barleywheel/virtual/runtime.py
@@ -10,79 +10,79 @@
 
 import greenlet
 
-MOST_TURNS = 20_000  # of greenlets within one instant: more of them is a loop that never waits
+MAX_TURNS_PER_INSTANT = 20_000  # of greenlets within one instant: more of them is a loop that never waits
 
 
-class Stuck(Exception):
+class BusyLoopError(Exception):
     """Greenlets kept running and time stood still."""
 
 
 class VirtualEvent:
     """A flag as ``core.runtime.Event``."""
 
-    __slots__ = ("_runtime", "_up", "_waiting")
+    __slots__ = ("_runtime", "_is_set", "_waiters")
 
     def __init__(self, runtime: VirtualRuntime) -> None:
-        self._runtime, self._up = runtime, False
-        self._waiting: list[Waiter] = []
+        self._runtime, self._is_set = runtime, False
+        self._waiters: list[Waiter] = []
 
     def is_set(self) -> bool:
         """Whether the flag is up."""
-        return self._up
+        return self._is_set
 
     def set(self) -> None:
         """Put the flag up."""
-        self._up = True
-        if self._waiting:
-            for waiter in self._waiting:
+        self._is_set = True
+        if self._waiters:
+            for waiter in self._waiters:
                 waiter.wake()
-            self._waiting = []
+            self._waiters = []
 
     def clear(self) -> None:
         """Take the flag down."""
-        self._up = False
+        self._is_set = False
 
     def wait(self, timeout: float | None = None) -> bool:
         """Block until the flag is up or the time is over; whether it was put up."""
-        if self._up:
+        if self._is_set:
             return True
         waiter = Waiter(self._runtime)
-        self._waiting.append(waiter)
+        self._waiters.append(waiter)
         woken = waiter.wait(timeout)
-        if not woken and waiter in self._waiting:
-            self._waiting.remove(waiter)
+        if not woken and waiter in self._waiters:
+            self._waiters.remove(waiter)
         return woken
 
 
 class Waiter:
     """One greenlet that waits once, for a wake-up or for a time."""
 
-    __slots__ = ("_runtime", "_greenlet", "_woken", "_over")
+    __slots__ = ("_runtime", "_greenlet", "_woken", "_done")
 
     def __init__(self, runtime: VirtualRuntime) -> None:
         self._runtime = runtime
         self._greenlet: greenlet.greenlet | None = greenlet.getcurrent()
-        self._woken = self._over = False
+        self._woken = self._done = False
 
     def wake(self) -> None:
         """Let it go on in the next turn; a second time does nothing."""
-        if not self._over:
-            self._woken = self._over = True
+        if not self._done:
+            self._woken = self._done = True
             self._runtime.ready.append(self._greenlet)
 
-    def _late(self) -> None:
-        if not self._over:
-            self._over = True
+    def _on_timeout(self) -> None:
+        if not self._done:
+            self._done = True
             self._runtime.ready.append(self._greenlet)
 
     def wait(self, timeout: float | None) -> bool:
         """Block; whether it was woken."""
         if timeout is not None:
-            self._runtime.after(max(0, int(timeout * 1e6)), self._late)
+            self._runtime.after(max(0, int(timeout * 1e6)), self._on_timeout)
         try:
             self._runtime.hub.switch()
         finally:
-            self._over, self._greenlet = True, None
+            self._done, self._greenlet = True, None
         return self._woken
 
 
@@ -93,11 +93,11 @@
         self.time_us, self.skew_us = start_us, 0  # skew: what the Unix clock was set by since the start
         self.ready: deque[Any] = deque()
         self.hub = greenlet.getcurrent()
-        self.faults: list[BaseException] = []  # what greenlets ended by
+        self.uncaught_errors: list[BaseException] = []  # what greenlets ended by
         self.turns = 0
         self.alive: dict[greenlet.greenlet, None] = {}
         self._timers: list[tuple[int, int, Callable[[], object]]] = []
-        self._number = 0
+        self._timer_number = 0
         self._random = random.Random(seed)
 
     def now_us(self) -> int:
@@ -125,15 +125,15 @@
             try:
                 target(*args)
             except Exception as error:
-                self.faults.append(error)
+                self.uncaught_errors.append(error)
                 if broken is not None:
                     broken(error)
             finally:
-                self.alive.pop(made, None)
+                self.alive.pop(new_greenlet, None)
 
-        made = greenlet.greenlet(body, self.hub)
-        self.alive[made] = None
-        self.ready.append(made)
+        new_greenlet = greenlet.greenlet(body, self.hub)
+        self.alive[new_greenlet] = None
+        self.ready.append(new_greenlet)
 
     def event(self) -> VirtualEvent:
         """See ``Runtime``."""
@@ -147,29 +147,29 @@
 
     def after(self, us: int, action: Callable[[], object]) -> None:
         """Run an action, which must not block, so many microseconds from now."""
-        self._number += 1
-        heapq.heappush(self._timers, (self.time_us + us, self._number, action))
+        self._timer_number += 1
+        heapq.heappush(self._timers, (self.time_us + us, self._timer_number, action))
 
-    def settle(self) -> None:
+    def run_ready(self) -> None:
         """Let every greenlet run until all of them wait; time stands still."""
-        ready, most = self.ready, self.turns + MOST_TURNS
+        ready, limit = self.ready, self.turns + MAX_TURNS_PER_INSTANT
         while ready:
             ready.popleft().switch()
             self.turns += 1
-            if self.turns > most:
-                raise Stuck(f"{MOST_TURNS} turns within one instant")
+            if self.turns > limit:
+                raise BusyLoopError(f"{MAX_TURNS_PER_INSTANT} turns within one instant")
 
     def run(self, us: int) -> None:
         """Let so much time pass."""
         until, timers = self.time_us + us, self._timers
-        self.settle()
+        self.run_ready()
         while timers and timers[0][0] <= until:
             self.time_us = max(self.time_us, timers[0][0])
             heapq.heappop(timers)[2]()
-            self.settle()
+            self.run_ready()
         self.time_us = until
 
-    def end(self) -> None:
+    def stop(self) -> None:
         """End every greenlet where it waits."""
         while self.alive:
             one = next(iter(self.alive))
--- a/tests/rig.py
+++ b/tests/controller_harness.py
@@ -8,20 +8,20 @@
 from barleywheel import interface as api
 from barleywheel.brain import Controller
 
-START = 100_000_000
-SECOND = 1_000_000
+START_US = 100_000_000
+SECOND_US = 1_000_000
 A = TypeVar("A")
 
 
-def xid(cell: int) -> api.ExchangeId:
+def exchange_id(cell: int) -> api.ExchangeId:
     return b"xx" + bytes([cell]) + b"xxx"
 
 
 def settings(**changes: Any) -> api.Settings:
     base = api.Settings(
         classes=[
-            api.ClassOfCall(aim_us=1_500_000, deadline_us=9 * SECOND, worth=1.0),
-            api.ClassOfCall(aim_us=1_500_000, deadline_us=9 * SECOND, worth=3.0),
+            api.ClassOfCall(aim_us=1_500_000, deadline_us=9 * SECOND_US, worth=1.0),
+            api.ClassOfCall(aim_us=1_500_000, deadline_us=9 * SECOND_US, worth=3.0),
         ],
         agents=4,
         home=0,
@@ -29,30 +29,32 @@
         attempts=4,
         may_cancel=True,
         cold_from=0.3,
-        cold_us=10 * SECOND,
+        cold_us=10 * SECOND_US,
         tip_multiple=2.0,
-        fall_us=2 * SECOND,
+        fall_us=2 * SECOND_US,
         tick_us=5_000,
     )
     return replace(base, **changes)
 
 
-class Rig:
+class ControllerHarness:
     """One controller at exchange 0 of a mesh of 4, with 20 free circuits to each other exchange."""
 
     def __init__(self, cells: int = 4, seed: int = 1, **changes: Any) -> None:
-        self.now = START
-        self.brain = Controller(settings(**changes), seed)
-        self.seen: list[api.Action] = []
+        self.now = START_US
+        self.controller = Controller(settings(**changes), seed)
+        self.actions: list[api.Action] = []
         self.timers: list[tuple[int, int]] = []
         self.calls = 0
-        self.tell(api.Discovery(api.ListMode.CACHED, [api.Entry(xid(c), c) for c in range(cells)]))
+        self.send_event(
+            api.Discovery(api.ListMode.CACHED, [api.Entry(exchange_id(c), c) for c in range(cells)])
+        )
         for cell in range(1, cells):
             self.circuits(cell, 20)
 
-    def tell(self, event: api.Event) -> list[api.Action]:
-        actions = self.brain.handle(self.now, event)
-        self.seen += actions
+    def send_event(self, event: api.Event) -> list[api.Action]:
+        actions = self.controller.handle(self.now, event)
+        self.actions += actions
         self.timers += [(a.due_us, a.token) for a in actions if isinstance(a, api.SetTimer)]
         return actions
 
@@ -63,27 +65,27 @@
             due = min(self.timers)
             self.timers.remove(due)
             self.now = max(self.now, due[0])
-            out += self.tell(api.TimerDue(due[1]))
+            out += self.send_event(api.TimerDue(due[1]))
         self.now = end
         return out
 
     def circuits(self, cell: int, free: float, size: float = 20) -> list[api.Action]:
         load = api.Load(free_circuits=free, group_size=size)
-        return self.tell(api.LoadSeen(xid(cell), api.Outcome.OK, 0, load))
+        return self.send_event(api.LoadSeen(exchange_id(cell), api.Outcome.OK, 0, load))
 
-    def offer(self, to: int = 1, left: int = 3 * SECOND, **more: Any) -> list[api.Action]:
+    def offer(self, to: int = 1, left: int = 3 * SECOND_US, **more: Any) -> list[api.Action]:
         self.calls += 1
-        return self.tell(api.CallOffered(self.calls, left, to, **more))
+        return self.send_event(api.CallOffered(self.calls, left, to, **more))
 
     def end(
         self, outcome: api.Outcome, cell: int = 1, call: int = 0, attempt: int = 0, **more: Any
     ) -> list[api.Action]:
         call = call or self.calls
-        return self.tell(api.AttemptEnded(call, attempt, xid(cell), outcome, **more))
+        return self.send_event(api.AttemptEnded(call, attempt, exchange_id(cell), outcome, **more))
 
     def stands(self, cell: int = 1, call: int = 0, took: int = 50_000) -> list[api.Action]:
-        return self.tell(api.CallStands(call or self.calls, 0, xid(cell), took))
+        return self.send_event(api.CallStands(call or self.calls, 0, exchange_id(cell), took))
 
 
-def only(actions: list[api.Action], kind: type[A]) -> list[A]:
+def actions_of_type(actions: list[api.Action], kind: type[A]) -> list[A]:
     return [action for action in actions if isinstance(action, kind)]
--- a/tests/m3uarig.py
+++ b/tests/m3ua_harness.py
@@ -7,17 +7,17 @@
 from contextlib import suppress
 from dataclasses import dataclass
 
-from tests.netrig import Inbox, started
+from tests.network_harness import Inbox, start_thread
 
 ASPUP, ASPDN, BEAT, ASPUP_ACK, ASPDN_ACK, BEAT_ACK = 0x301, 0x302, 0x303, 0x304, 0x305, 0x306
 ASPAC, ASPIA, ASPAC_ACK, ASPIA_ACK = 0x401, 0x402, 0x403, 0x404
 ERR, NTFY, DATA, DUNA, DAVA, DAUD, SCON = 0x000, 0x001, 0x101, 0x201, 0x202, 0x203, 0x204
 IAM, ACM, ANM, REL, RLC = 1, 6, 9, 12, 16
-OURS, THEIRS = 200, 100  # point codes, as the peer sees them
+PEER_POINT_CODE, ROUTER_POINT_CODE = 200, 100  # point codes, as the peer sees them
 
 
 @dataclass
-class Heard:
+class M3uaMessage:
     code: int
     params: dict[int, bytes]
     cic: int = -1
@@ -42,21 +42,21 @@
     return struct.pack(">BBHI", 1, 0, code, 8 + len(body)) + body
 
 
-class Peer:
+class M3uaPeer:
     """An exchange with point code 200 and its link."""
 
     def __init__(self, port: int) -> None:
         self.port = port
-        self.heard: Inbox[Heard] = Inbox()
+        self.inbox: Inbox[M3uaMessage] = Inbox()
 
-    def connect(self, active: bool = True) -> Peer:
+    def connect(self, active: bool = True) -> M3uaPeer:
         self.sock = socket.create_connection(("127.0.0.1", self.port))
-        started(self._read, self.sock)
+        start_thread(self._read, self.sock)
         if active:
             self.send(ASPUP, {0x11: b"\0\0\0\1"})
-            self.hear(ASPUP_ACK)
+            self.receive(ASPUP_ACK)
             self.send(ASPAC, {0x06: b"\0\0\0\1"})
-            self.hear(ASPAC_ACK)
+            self.receive(ASPAC_ACK)
         return self
 
     def drop(self) -> None:
@@ -71,25 +71,27 @@
                     tag, size = struct.unpack_from(">HH", body, at)
                     params[tag] = body[at + 4 : at + size]
                     at += size + -size % 4
-                heard = Heard(code, params)
+                message = M3uaMessage(code, params)
                 if code == DATA:
                     opc, dpc, si = struct.unpack_from(">IIB", params[0x210])
-                    assert (opc, dpc, si) == (THEIRS, OURS, 5)
-                    heard.cic, heard.type = struct.unpack_from("<HB", params[0x210], 12)
-                    heard.body = params[0x210][15:]
-                self.heard.put(heard)
+                    assert (opc, dpc, si) == (ROUTER_POINT_CODE, PEER_POINT_CODE, 5)
+                    message.cic, message.type = struct.unpack_from("<HB", params[0x210], 12)
+                    message.body = params[0x210][15:]
+                self.inbox.add(message)
 
     def send(self, code: int, params: dict[int, bytes]) -> None:
         self.sock.sendall(encode(code, params))
 
-    def hear(self, code: int) -> Heard:
-        return self.heard.take(lambda m: m.code == code)
+    def receive(self, code: int) -> M3uaMessage:
+        return self.inbox.wait_and_pop(lambda m: m.code == code)
 
-    def isup(self, cic: int, kind: int, body: bytes = b"", opc: int = OURS, dpc: int = THEIRS) -> None:
+    def send_isup(
+        self, cic: int, kind: int, body: bytes = b"", opc: int = PEER_POINT_CODE, dpc: int = ROUTER_POINT_CODE
+    ) -> None:
         head = struct.pack(">IIBBBB", opc, dpc, 5, 2, 0, cic & 15)
         self.send(DATA, {0x06: b"\0\0\0\1", 0x210: head + struct.pack("<HB", cic, kind) + body})
 
-    def iam(
+    def send_iam(
         self, cic: int, description: bytes = b"", category: int = 10, digits: bytes = b"\xf7\xa3"
     ) -> None:
         """The digits are swapped pairs: 7f3a."""
@@ -97,14 +99,14 @@
         options = b"\x20" + bytes([len(description)]) + description + b"\0" if description else b""
         pointers = bytes([2, len(called) + 2 if options else 0])
         fixed = bytes([0, 0x20, 1, category, 0])
-        self.isup(cic, IAM, fixed + pointers + bytes([len(called)]) + called + options)
+        self.send_isup(cic, IAM, fixed + pointers + bytes([len(called)]) + called + options)
 
-    def anm(self, cic: int, description: bytes) -> None:
-        self.isup(cic, ANM, b"\1\x20" + bytes([len(description)]) + description + b"\0")
+    def send_anm(self, cic: int, description: bytes) -> None:
+        self.send_isup(cic, ANM, b"\1\x20" + bytes([len(description)]) + description + b"\0")
 
-    def rel(self, cic: int, cause: int) -> None:
-        self.isup(cic, REL, bytes([2, 0, 2, 0x80, 0x80 | cause]))
+    def send_rel(self, cic: int, cause: int) -> None:
+        self.send_isup(cic, REL, bytes([2, 0, 2, 0x80, 0x80 | cause]))
 
-    def call(self, kind: int, cic: int | None = None) -> Heard:
+    def receive_isup(self, kind: int, cic: int | None = None) -> M3uaMessage:
         """An ISUP message of that type, on that circuit if one is given."""
-        return self.heard.take(lambda m: m.code == DATA and m.type == kind and cic in (None, m.cic))
+        return self.inbox.wait_and_pop(lambda m: m.code == DATA and m.type == kind and cic in (None, m.cic))
--- a/tests/netrig.py
+++ b/tests/network_harness.py
@@ -17,9 +17,9 @@
 from typing import Any, BinaryIO, TypeVar
 
 ROOT = Path(__file__).parent.parent
-PATIENCE = 20.0  # seconds that a condition is waited for; no test needs so long unless it fails
+WAIT_TIMEOUT_S = 20.0  # seconds that a condition is waited for; no test needs so long unless it fails
 M = TypeVar("M")
-BODY = b"9d41c07a5be2f318\r\nc=IN IP4 10.4.7.9\r\n\xff\xfe\r\n"
+DESCRIPTION = b"9d41c07a5be2f318\r\nc=IN IP4 10.4.7.9\r\n\xff\xfe\r\n"
 SETTINGS: dict[str, Any] = {
     "balancers": 3,
     "classes": [
@@ -42,15 +42,15 @@
         super().__init__()
         self.changed = threading.Condition()
 
-    def put(self, item: M) -> None:
+    def add(self, item: M) -> None:
         with self.changed:
             self.append(item)
             self.changed.notify_all()
 
-    def take(self, fits: Callable[[M], bool], patience: float = PATIENCE) -> M:
+    def wait_and_pop(self, fits: Callable[[M], bool], timeout_s: float = WAIT_TIMEOUT_S) -> M:
         """Remove and return the first item that fits, waiting for it."""
         with self.changed:
-            if not self.changed.wait_for(lambda: any(map(fits, self)), patience):
+            if not self.changed.wait_for(lambda: any(map(fits, self)), timeout_s):
                 raise AssertionError(f"not heard; there is {list(self)}")
             found = next(filter(fits, self))
             self.remove(found)
@@ -65,21 +65,21 @@
     return text.decode()
 
 
-def started(target: Callable[..., object], *args: object) -> None:
+def start_thread(target: Callable[..., object], *args: object) -> None:
     threading.Thread(target=target, args=args, daemon=True).start()
 
 
-class Sip:
+class SipMessage:
     """A SIP message as a hub hears it."""
 
     def __init__(self, hub: Hub, sock: socket.socket, head: str, body: bytes) -> None:
         self.hub, self.sock, self.body, self.at = hub, sock, body, time.time()
-        self.first, *rest = head.split("\r\n")
+        self.start_line, *rest = head.split("\r\n")
         self.headers = dict(line.split(": ", 1) for line in rest)
-        self.method, self.ref = self.first.split()[0], self.headers["Call-ID"]
+        self.method, self.ref = self.start_line.split()[0], self.headers["Call-ID"]
 
     def __repr__(self) -> str:
-        return f"<{self.first} {self.ref} {self.headers['CSeq']}>"
+        return f"<{self.start_line} {self.ref} {self.headers['CSeq']}>"
 
     def answer(self, status: int, body: bytes = b"", **headers: str) -> None:
         more = "".join(f"{name.replace('_', '-')}: {value}\r\n" for name, value in headers.items())
@@ -89,22 +89,23 @@
 
 
 class Hub:
-    """A build hub. Group state comes first on a connection; set-ups go to ``auto`` and to the inbox."""
+    """A build hub. Group state comes first on a connection; set-ups go to ``on_invite`` and to the inbox."""
 
     def __init__(
-        self, name: str, cell: int, auto: Callable[[Sip], object] | None = None, free: int = 20
+        self, name: str, cell: int, on_invite: Callable[[SipMessage], object] | None = None, free: int = 20
     ) -> None:
-        self.name, self.cell, self.auto, self.free = name, cell, auto, free
-        self.heard: Inbox[Sip] = Inbox()
+        self.name, self.cell, self.on_invite, self.free = name, cell, on_invite, free
+        self.inbox: Inbox[SipMessage] = Inbox()
         self.conns: list[socket.socket] = []
-        self.deaf = False  # passes no test
-        self.early = True  # a connection to it is opened early; not if another carrier reaches its exchange
+        self.ignores_options = False  # passes no test
+        # A connection to it is opened early; not if another carrier reaches its exchange.
+        self.expects_early_connection = True
         self.listen(0)
 
     def listen(self, port: int) -> None:
         self.listener = socket.create_server(("127.0.0.1", port), reuse_port=False)
         self.port = self.listener.getsockname()[1]
-        started(self._accept, self.listener)
+        start_thread(self._accept, self.listener)
 
     def _accept(self, listener: socket.socket) -> None:
         while True:
@@ -113,10 +114,10 @@
             except OSError:
                 return
             self.conns.append(sock)
-            self.say(sock, "NOTIFY sip:group@net", "x", f"X-State: x0:{self.free};x1:20\r\n")
-            started(self._read, sock)
+            self.send_request(sock, "NOTIFY sip:group@net", "x", f"X-State: x0:{self.free};x1:20\r\n")
+            start_thread(self._read, sock)
 
-    def say(self, sock: socket.socket, first: str, ref: str, more: str = "") -> None:
+    def send_request(self, sock: socket.socket, first: str, ref: str, more: str = "") -> None:
         """Send a request of the hub's own."""
         method = first.split()[0]
         sock.sendall(
@@ -124,19 +125,19 @@
             f"CSeq: 7 {method}\r\n{more}Content-Length: 0\r\n\r\n".encode()
         )
 
-    def bye(self, ref: str, cause: int) -> None:
-        self.say(self.conns[-1], "BYE sip:a@net", ref, f"Reason: Q.850;cause={cause}\r\n")
+    def send_bye(self, ref: str, cause: int) -> None:
+        self.send_request(self.conns[-1], "BYE sip:a@net", ref, f"Reason: Q.850;cause={cause}\r\n")
 
     def _read(self, sock: socket.socket) -> None:
         with sock.makefile("rb") as file, suppress(OSError):
             while head := read_head(file):
                 size = re.search(r"Content-Length: (\d+)", head)
-                message = Sip(self, sock, head.rstrip(), file.read(int(size[1]) if size else 0))
-                self.heard.put(message)
-                if message.method == "OPTIONS" and not self.deaf:
+                message = SipMessage(self, sock, head.rstrip(), file.read(int(size[1]) if size else 0))
+                self.inbox.add(message)
+                if message.method == "OPTIONS" and not self.ignores_options:
                     message.answer(200)
-                if message.method == "INVITE" and self.auto:
-                    self.auto(message)
+                if message.method == "INVITE" and self.on_invite:
+                    self.on_invite(message)
 
     def vanish(self) -> None:
         """Fall silent as a machine that is cut off: connections stay open, and new ones never come up."""
@@ -168,9 +169,9 @@
         self.stall = False
         self.polls: Inbox[int] = Inbox()
         self.listener = socket.create_server(("127.0.0.1", 0))
-        started(self._accept)
+        start_thread(self._accept)
 
-    def tell(self, *hubs: Hub, status: str = "Ready", snapshot: bool = False, since: int = 0) -> None:
+    def publish(self, *hubs: Hub, status: str = "Ready", snapshot: bool = False, since: int = 0) -> None:
         endpoints = [
             {
                 "name": hub.name,
@@ -194,12 +195,12 @@
     def after(self, tail: int) -> dict[str, Any]:
         return {"pos": len(self.entries), "entries": self.entries[tail:]}
 
-    def told(self, tail: int) -> bool:
+    def has_after(self, tail: int) -> bool:
         return len(self.entries) > tail
 
     def _accept(self) -> None:
         while True:
-            started(self._serve, self.listener.accept()[0])
+            start_thread(self._serve, self.listener.accept()[0])
 
     def _serve(self, sock: socket.socket) -> None:
         with sock.makefile("rb") as file, suppress(OSError):
@@ -207,11 +208,11 @@
                 found = re.match(r"GET /journal\?tail=(\d+)&max_wait=(\d+) HTTP/1.1", head)
                 assert found, head
                 tail, wait = int(found[1]), int(found[2])
-                self.polls.put(tail)
+                self.polls.add(tail)
                 if self.stall:
                     continue
                 with self.changed:
-                    self.changed.wait_for(partial(self.told, tail), wait / 1000)
+                    self.changed.wait_for(partial(self.has_after, tail), wait / 1000)
                     body = json.dumps(self.after(tail)).encode()
                 sock.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body)
 
@@ -221,29 +222,29 @@
 
     def __init__(self, address: tuple[str, int]) -> None:
         self.sock = socket.create_connection(address)
-        self.heard: Inbox[dict[str, Any]] = Inbox()
+        self.inbox: Inbox[dict[str, Any]] = Inbox()
         self.closed = threading.Event()
-        started(self._read)
+        start_thread(self._read)
 
     def _read(self) -> None:
         with self.sock.makefile("rb") as file, suppress(OSError):
             for line in file:
-                self.heard.put(json.loads(line.decode("utf-8", "surrogateescape")))
+                self.inbox.add(json.loads(line.decode("utf-8", "surrogateescape")))
         self.closed.set()
 
     def send(self, kind: str, ref: str, **more: Any) -> None:
         text = json.dumps({"t": kind, "ref": ref, "f": {}} | more, ensure_ascii=False)
         self.sock.sendall(text.encode("utf-8", "surrogateescape") + b"\n")
 
-    def new(self, ref: str, to: int = 1, body: bytes = BODY, **changes: str) -> None:
+    def send_new(self, ref: str, to: int = 1, body: bytes = DESCRIPTION, **changes: str) -> None:
         fields = {"class": "voice", "left": "3000", "key": "7f3a", "extras": f"dest:{to};width:1;via:-1"}
         self.send("new", ref, f=fields | changes, d=body.decode("utf-8", "surrogateescape"))
 
-    def hear(self, kind: str, ref: str, patience: float = PATIENCE) -> dict[str, Any]:
-        return self.heard.take(lambda m: (m["t"], m["ref"]) == (kind, ref), patience)
+    def receive(self, kind: str, ref: str, timeout_s: float = WAIT_TIMEOUT_S) -> dict[str, Any]:
+        return self.inbox.wait_and_pop(lambda m: (m["t"], m["ref"]) == (kind, ref), timeout_s)
 
 
-class World:
+class NetworkHarness:
     """The program among its stand-ins."""
 
     def __init__(
@@ -252,7 +253,7 @@
         self.tmp, self.args, self.hubs, self.journal = tmp, args, hubs, Journal()
         self.limits = {"sockets": sockets, "memory_mb": 64}
         self.settings = SETTINGS | changes
-        self.journal.tell(*hubs, snapshot=True)
+        self.journal.publish(*hubs, snapshot=True)
         with socket.create_server(("127.0.0.1", 0)) as free:
             self.address = free.getsockname()
         self.start()
@@ -278,19 +279,19 @@
         self.process = subprocess.Popen(
             [sys.executable, "-m", "barleywheel", *self.args], cwd=ROOT, env=env, stderr=self.log
         )
-        self.wait_for(lambda: "serving:" in self.logged() or self.process.poll() is not None)
-        assert self.process.poll() is None, self.logged()
+        self.wait_for(lambda: "serving:" in self.log_text() or self.process.poll() is not None)
+        assert self.process.poll() is None, self.log_text()
         for hub in self.hubs:  # its first connection is opened early, so that circuits are known
-            if hub.cell and hub.early and hub.listener.fileno() >= 0:
+            if hub.cell and hub.expects_early_connection and hub.listener.fileno() >= 0:
                 self.wait_for(partial(bool, hub.conns))
 
-    def logged(self) -> str:
+    def log_text(self) -> str:
         return (self.tmp / "log").read_text()
 
     def wait_for(self, condition: Callable[[], object]) -> None:
-        until = time.monotonic() + PATIENCE
+        until = time.monotonic() + WAIT_TIMEOUT_S
         while not condition():
-            assert time.monotonic() < until, self.logged()
+            assert time.monotonic() < until, self.log_text()
             time.sleep(0.01)
 
     def caller(self) -> Caller:
@@ -303,15 +304,15 @@
 
 
 @contextmanager
-def world(tmp: Path, *hubs: Hub, **changes: Any) -> Iterator[World]:
-    made = World(tmp, list(hubs), **changes)
+def running_network(tmp: Path, *hubs: Hub, **changes: Any) -> Iterator[NetworkHarness]:
+    harness = NetworkHarness(tmp, list(hubs), **changes)
     try:
-        yield made
-        assert made.process.poll() is None and "Traceback" not in made.logged(), made.logged()
+        yield harness
+        assert harness.process.poll() is None and "Traceback" not in harness.log_text(), harness.log_text()
     finally:
-        made.stop()
+        harness.stop()
 
 
-def stands(message: Sip) -> None:
+def answer_call(message: SipMessage) -> None:
     """A hub's answer: the call stands, with the description that came."""
     message.answer(200, message.body, X_State="x0:12;x1:20;queue:3")
