--- a/tests/test_brain.py
+++ b/tests/test_brain.py
@@ -11,209 +11,217 @@
 from barleywheel import brain
 from barleywheel import interface as api
 from barleywheel.interface import Cause, Outcome
-from tests.rig import SECOND, START, Rig, only, xid
+from tests.controller_harness import SECOND_US, START_US, ControllerHarness, actions_of_type, exchange_id
 
 
-def press(rig: Rig, cell: int = 1, epochs: int = 1) -> None:
+def press(harness: ControllerHarness, cell: int = 1, epochs: int = 1) -> None:
     """Let each of a few epochs end with set-ups refused by a full processor."""
     for _ in range(epochs):
         for _ in range(4):
-            if only(rig.offer(cell), api.SetUp):
-                rig.end(Outcome.REJECTED, cell, cause=Cause.PROCESSOR_FULL)
-        rig.run(SECOND)
+            if actions_of_type(harness.offer(cell), api.SetUp):
+                harness.end(Outcome.REJECTED, cell, cause=Cause.PROCESSOR_FULL)
+        harness.run(SECOND_US)
 
 
 # Ordinary path.
 
 
 def test_direct_first() -> None:
-    rig = Rig()
-    assert [a.exchange for a in only(rig.offer(2), api.SetUp)] == [xid(2)]
+    harness = ControllerHarness()
+    assert [a.exchange for a in actions_of_type(harness.offer(2), api.SetUp)] == [exchange_id(2)]
 
 
 def test_overflow_to_a_tandem_when_the_group_is_full() -> None:
-    rig = Rig()
-    rig.circuits(1, 0)
-    (sent,) = only(rig.offer(1), api.SetUp)
-    assert sent.exchange in (xid(2), xid(3))
+    harness = ControllerHarness()
+    harness.circuits(1, 0)
+    (sent,) = actions_of_type(harness.offer(1), api.SetUp)
+    assert sent.exchange in (exchange_id(2), exchange_id(3))
 
 
 def test_tandem_weight_follows_success() -> None:
-    rig = Rig()
-    rig.circuits(1, 0)
-    (sent,) = only(rig.offer(1), api.SetUp)
-    tandem = rig.brain.exchanges[sent.exchange]
-    rig.end(Outcome.REJECTED, sent.exchange[2], cause=Cause.TURNED_BACK)
+    harness = ControllerHarness()
+    harness.circuits(1, 0)
+    (sent,) = actions_of_type(harness.offer(1), api.SetUp)
+    tandem = harness.controller.exchanges[sent.exchange]
+    harness.end(Outcome.REJECTED, sent.exchange[2], cause=Cause.TURNED_BACK)
     assert tandem.weight == pytest.approx(brain.WEIGHT_DOWN)
-    rig.circuits(1, 0)
-    rig.brain.exchanges[xid(5 - sent.exchange[2])].free = 0
-    rig.offer(1)
-    rig.stands(sent.exchange[2])
+    harness.circuits(1, 0)
+    harness.controller.exchanges[exchange_id(5 - sent.exchange[2])].free = 0
+    harness.offer(1)
+    harness.stands(sent.exchange[2])
     assert tandem.weight == pytest.approx(brain.WEIGHT_DOWN + brain.WEIGHT_UP)
 
 
 def test_transit_goes_to_its_destination_or_back() -> None:
-    rig = Rig()
-    (sent,) = only(rig.offer(2, in_transit=True, source=1), api.SetUp)
-    assert sent.exchange == xid(2)
-    rig.circuits(3, 0)
-    actions = rig.offer(3, in_transit=True, source=1)
-    assert only(actions, api.Refuse) and not only(actions, api.SetUp)
+    harness = ControllerHarness()
+    (sent,) = actions_of_type(harness.offer(2, in_transit=True, source=1), api.SetUp)
+    assert sent.exchange == exchange_id(2)
+    harness.circuits(3, 0)
+    actions = harness.offer(3, in_transit=True, source=1)
+    assert actions_of_type(actions, api.Refuse) and not actions_of_type(actions, api.SetUp)
 
 
 def test_f_follows_reported_utilisation() -> None:
-    rig = Rig()
+    harness = ControllerHarness()
     for _ in range(3):
-        rig.tell(api.LoadSeen(xid(1), Outcome.OK, 1000, api.Load(utilisation=0.99)))
-        rig.run(SECOND)
-    assert rig.brain.exchanges[xid(1)].f == pytest.approx((0.9 / 0.99) ** 3)
-    assert rig.brain.exchanges[xid(2)].f == 1.0
+        harness.send_event(api.LoadSeen(exchange_id(1), Outcome.OK, 1000, api.Load(utilisation=0.99)))
+        harness.run(SECOND_US)
+    assert harness.controller.exchanges[exchange_id(1)].f == pytest.approx((0.9 / 0.99) ** 3)
+    assert harness.controller.exchanges[exchange_id(2)].f == 1.0
 
 
 def test_f_falls_on_full_processors_and_a_refused_draw_tries_no_route() -> None:
-    rig = Rig()
-    press(rig, epochs=6)
-    assert rig.brain.exchanges[xid(1)].f < 0.3
+    harness = ControllerHarness()
+    press(harness, epochs=6)
+    assert harness.controller.exchanges[exchange_id(1)].f < 0.3
     refused = 0
     for _ in range(40):
-        actions = rig.offer(1)
-        if only(actions, api.Refuse):
+        actions = harness.offer(1)
+        if actions_of_type(actions, api.Refuse):
             refused += 1
-            assert not only(actions, api.SetUp)
-        assert all(a.exchange == xid(1) for a in only(actions, api.SetUp))
+            assert not actions_of_type(actions, api.SetUp)
+        assert all(a.exchange == exchange_id(1) for a in actions_of_type(actions, api.SetUp))
     assert refused > 15
 
 
 def test_f_recovers_to_one() -> None:
-    rig = Rig()
-    press(rig, epochs=6)
-    rig.run(12 * SECOND)
-    assert rig.brain.exchanges[xid(1)].f == 1.0
+    harness = ControllerHarness()
+    press(harness, epochs=6)
+    harness.run(12 * SECOND_US)
+    assert harness.controller.exchanges[exchange_id(1)].f == 1.0
 
 
 def test_own_occupancy_follows_the_set_up_delay() -> None:
-    rig = Rig()
+    harness = ControllerHarness()
     for took in [10_000] * 12 + [1_000_000] * 60:
-        rig.offer(1)
-        rig.stands(took=took)
-        rig.circuits(1, 20)
-    rig.run(3 * SECOND)
-    assert rig.brain.f < 1.0
+        harness.offer(1)
+        harness.stands(took=took)
+        harness.circuits(1, 20)
+    harness.run(3 * SECOND_US)
+    assert harness.controller.f < 1.0
 
 
 def test_circuits_are_counted_between_reports() -> None:
-    rig = Rig()
-    rig.circuits(1, 1)
-    rig.offer(1)
-    assert only(rig.offer(1), api.SetUp)[0].exchange != xid(1)
+    harness = ControllerHarness()
+    harness.circuits(1, 1)
+    harness.offer(1)
+    assert actions_of_type(harness.offer(1), api.SetUp)[0].exchange != exchange_id(1)
 
 
 # The five rules.
 
 
 def test_rule_1_an_unanswered_call_fails_before_its_time_is_out() -> None:
-    rig = Rig()
-    rig.offer(1, left=SECOND)
-    actions = rig.run(SECOND)
-    assert [a.call for a in only(actions, api.Fail)] == [1]
-    assert only(actions, api.Cancel)
-    rig.end(Outcome.CANCELLED)
-    assert len([a for a in rig.seen if isinstance(a, api.Fail | api.Refuse)]) == 1
+    harness = ControllerHarness()
+    harness.offer(1, left=SECOND_US)
+    actions = harness.run(SECOND_US)
+    assert [a.call for a in actions_of_type(actions, api.Fail)] == [1]
+    assert actions_of_type(actions, api.Cancel)
+    harness.end(Outcome.CANCELLED)
+    assert len([a for a in harness.actions if isinstance(a, api.Fail | api.Refuse)]) == 1
 
 
 def test_rule_1_transit_is_answered_in_time_too() -> None:
-    rig = Rig()
-    rig.offer(1, left=SECOND, in_transit=True, source=2)
-    assert [a.call for a in only(rig.run(SECOND), api.Fail)] == [1]
+    harness = ControllerHarness()
+    harness.offer(1, left=SECOND_US, in_transit=True, source=2)
+    assert [a.call for a in actions_of_type(harness.run(SECOND_US), api.Fail)] == [1]
 
 
 def test_rule_1_nothing_is_sent_after_the_end() -> None:
-    rig = Rig()
-    rig.offer(1)
-    rig.tell(api.CallerGone(1))
-    rig.end(Outcome.TIMEOUT)
-    rig.tell(api.CallerGone(1))
-    rig.run(5 * SECOND)
-    late = rig.seen[-20:]
-    assert len(only(rig.seen, api.SetUp)) == 1 and not only(late, api.Fail) and not rig.brain.calls
+    harness = ControllerHarness()
+    harness.offer(1)
+    harness.send_event(api.CallerGone(1))
+    harness.end(Outcome.TIMEOUT)
+    harness.send_event(api.CallerGone(1))
+    harness.run(5 * SECOND_US)
+    late = harness.actions[-20:]
+    assert (
+        len(actions_of_type(harness.actions, api.SetUp)) == 1
+        and not actions_of_type(late, api.Fail)
+        and not harness.controller.calls
+    )
 
 
 def test_rule_1_late_events_do_not_send_past_the_deadline() -> None:
-    rig = Rig()
-    rig.circuits(1, 0)
-    (sent,) = only(rig.offer(1, left=SECOND), api.SetUp)
-    rig.now += 2 * SECOND  # the timer has not been delivered
-    actions = rig.end(Outcome.REJECTED, sent.exchange[2], cause=Cause.TURNED_BACK)
-    assert only(actions, api.Fail) and not only(actions, api.SetUp)
+    harness = ControllerHarness()
+    harness.circuits(1, 0)
+    (sent,) = actions_of_type(harness.offer(1, left=SECOND_US), api.SetUp)
+    harness.now += 2 * SECOND_US  # the timer has not been delivered
+    actions = harness.end(Outcome.REJECTED, sent.exchange[2], cause=Cause.TURNED_BACK)
+    assert actions_of_type(actions, api.Fail) and not actions_of_type(actions, api.SetUp)
 
 
 def test_rule_2_one_attempt_out() -> None:
-    rig = Rig()
+    harness = ControllerHarness()
     rng = random.Random(5)
     out: set[int] = set()
     for _ in range(400):
-        rig.circuits(1, rng.choice([0, 1, 20]))
-        rig.offer(rng.choice([1, 2, 3]))
-        for action in rig.seen:
+        harness.circuits(1, rng.choice([0, 1, 20]))
+        harness.offer(rng.choice([1, 2, 3]))
+        for action in harness.actions:
             if isinstance(action, api.SetUp):
                 assert action.call not in out
                 out.add(action.call)
-        rig.seen.clear()
+        harness.actions.clear()
         for number in rng.sample(sorted(out), k=len(out) // 2):
-            call = rig.brain.calls.get(number)
+            call = harness.controller.calls.get(number)
             out.discard(number)
             if call is None or call.out is None:
                 continue
             kind = rng.choice([Outcome.REJECTED, Outcome.TIMEOUT, Outcome.NOT_SENT])
-            rig.end(kind, call.out.entry.cell, number, call.attempts - 1, cause=rng.choice(list(Cause)))
-        rig.run(rng.choice([0, 100_000]))
+            harness.end(kind, call.out.entry.cell, number, call.attempts - 1, cause=rng.choice(list(Cause)))
+        harness.run(rng.choice([0, 100_000]))
 
 
 @pytest.mark.parametrize("mode", [api.ListMode.DELTA, api.ListMode.FULL])
 @pytest.mark.parametrize("state", [api.State.DRAINING, api.State.GONE])
 def test_rule_3_nothing_new_to_a_draining_or_gone_exchange(mode: api.ListMode, state: api.State) -> None:
-    rig = Rig()
-    ready = [api.Entry(xid(c), c) for c in (0, 2, 3)] if mode is api.ListMode.FULL else []
-    rig.tell(api.Discovery(mode, [*ready, api.Entry(xid(1), 1, state)]))
-    rig.circuits(2, 0)
-    sent = [a for _ in range(20) for a in only(rig.offer(1) + rig.offer(2), api.SetUp)]
-    assert all(a.exchange != xid(1) for a in sent)
+    harness = ControllerHarness()
+    ready = [api.Entry(exchange_id(c), c) for c in (0, 2, 3)] if mode is api.ListMode.FULL else []
+    harness.send_event(api.Discovery(mode, [*ready, api.Entry(exchange_id(1), 1, state)]))
+    harness.circuits(2, 0)
+    sent = [a for _ in range(20) for a in actions_of_type(harness.offer(1) + harness.offer(2), api.SetUp)]
+    assert all(a.exchange != exchange_id(1) for a in sent)
 
 
 def test_rule_3_missing_from_a_full_list_means_gone() -> None:
-    rig = Rig()
-    rig.tell(api.Discovery(api.ListMode.FULL, [api.Entry(xid(c), c) for c in (0, 2, 3)]))
-    assert only(rig.offer(1), api.Refuse)
+    harness = ControllerHarness()
+    harness.send_event(api.Discovery(api.ListMode.FULL, [api.Entry(exchange_id(c), c) for c in (0, 2, 3)]))
+    assert actions_of_type(harness.offer(1), api.Refuse)
 
 
 def test_rule_4_a_cold_exchange_gets_our_share_at_most() -> None:
-    rig = Rig(agents=4)
+    harness = ControllerHarness(agents=4)
     for _ in range(20):  # a usual rate of 4 calls a second to each
         for cell in (1, 2, 3):
             for _ in range(4):
-                rig.offer(cell)
-                rig.stands(cell)
-                rig.circuits(cell, 20)
-        rig.run(SECOND)
-    rig.tell(api.Discovery(api.ListMode.DELTA, [api.Entry(xid(1), 1, launched_us=rig.now)]))
-    rig.seen.clear()
+                harness.offer(cell)
+                harness.stands(cell)
+                harness.circuits(cell, 20)
+        harness.run(SECOND_US)
+    harness.send_event(
+        api.Discovery(api.ListMode.DELTA, [api.Entry(exchange_id(1), 1, launched_us=harness.now)])
+    )
+    harness.actions.clear()
     for _ in range(20):
-        rig.circuits(1, 20)
+        harness.circuits(1, 20)
         for _ in range(5):
-            rig.offer(1)
-            rig.stands()
-        rig.run(100_000)
+            harness.offer(1)
+            harness.stands()
+        harness.run(100_000)
     share = 2.0 * 0.3 * 4 * 2  # multiple x coldest part x our usual rate x window
-    sent = [a for a in only(rig.seen, api.SetUp) if a.exchange == xid(1)]
+    sent = [a for a in actions_of_type(harness.actions, api.SetUp) if a.exchange == exchange_id(1)]
     assert 2 <= len(sent) <= share + 1
 
 
 def test_rule_4_a_fresh_agent_sends_one_call_a_window() -> None:
-    rig = Rig()
-    rig.tell(api.Discovery(api.ListMode.DELTA, [api.Entry(xid(1), 1, launched_us=START)]))
+    harness = ControllerHarness()
+    harness.send_event(
+        api.Discovery(api.ListMode.DELTA, [api.Entry(exchange_id(1), 1, launched_us=START_US)])
+    )
     for _ in range(30):
-        rig.offer(1)
-    assert len(only(rig.seen, api.SetUp)) == 1
+        harness.offer(1)
+    assert len(actions_of_type(harness.actions, api.SetUp)) == 1
 
 
 @pytest.mark.parametrize("outcome", [Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED, Outcome.ERROR])
@@ -221,157 +229,166 @@
 def test_rule_5_a_call_that_may_have_run_is_failed_and_never_sent_again(
     outcome: Outcome, effect: api.Effect
 ) -> None:
-    rig = Rig(classes=[api.ClassOfCall(aim_us=SECOND, deadline_us=9 * SECOND, effect=effect)])
-    rig.circuits(1, 0)
-    (sent,) = only(rig.offer(1), api.SetUp)
-    rig.now += 100_000
-    actions = rig.end(outcome, sent.exchange[2]) + rig.run(5 * SECOND)
-    assert len(only(actions, api.Fail)) == 1
-    assert not only(actions, api.SetUp) and not only(actions, api.Refuse)
+    harness = ControllerHarness(
+        classes=[api.ClassOfCall(aim_us=SECOND_US, deadline_us=9 * SECOND_US, effect=effect)]
+    )
+    harness.circuits(1, 0)
+    (sent,) = actions_of_type(harness.offer(1), api.SetUp)
+    harness.now += 100_000
+    actions = harness.end(outcome, sent.exchange[2]) + harness.run(5 * SECOND_US)
+    assert len(actions_of_type(actions, api.Fail)) == 1
+    assert not actions_of_type(actions, api.SetUp) and not actions_of_type(actions, api.Refuse)
 
 
 # Defences.
 
 
 def test_breaker_opens_on_silence_and_one_trial_call_closes_it() -> None:
-    rig = Rig()
-    rig.offer(1)
-    rig.run(1_500_000)
-    rig.end(Outcome.TIMEOUT)
-    assert rig.brain.exchanges[xid(1)].open
-    rig.run(SECOND)
-    rig.brain.exchanges[xid(1)].f = 1.0
-    trial = rig.offer(1)
-    assert only(trial, api.SetUp)
-    assert only(rig.offer(1), api.Refuse)
-    rig.stands(call=2)
-    assert not rig.brain.exchanges[xid(1)].open and only(rig.offer(1), api.SetUp)
+    harness = ControllerHarness()
+    harness.offer(1)
+    harness.run(1_500_000)
+    harness.end(Outcome.TIMEOUT)
+    assert harness.controller.exchanges[exchange_id(1)].open
+    harness.run(SECOND_US)
+    harness.controller.exchanges[exchange_id(1)].f = 1.0
+    trial = harness.offer(1)
+    assert actions_of_type(trial, api.SetUp)
+    assert actions_of_type(harness.offer(1), api.Refuse)
+    harness.stands(call=2)
+    assert not harness.controller.exchanges[exchange_id(1)].open and actions_of_type(
+        harness.offer(1), api.SetUp
+    )
 
 
 def test_breaker_opens_while_calls_still_wait() -> None:
-    rig = Rig()
-    rig.offer(1, left=9 * SECOND)
-    rig.run(3 * SECOND)
-    assert rig.brain.exchanges[xid(1)].open
+    harness = ControllerHarness()
+    harness.offer(1, left=9 * SECOND_US)
+    harness.run(3 * SECOND_US)
+    assert harness.controller.exchanges[exchange_id(1)].open
 
 
 def test_breaker_stays_closed_while_others_are_answered() -> None:
-    rig = Rig()
-    rig.offer(1)
-    rig.run(500_000)
-    rig.offer(1)
-    rig.stands(call=2)
-    rig.run(SECOND)
-    rig.end(Outcome.TIMEOUT, call=1)
-    assert not rig.brain.exchanges[xid(1)].open
+    harness = ControllerHarness()
+    harness.offer(1)
+    harness.run(500_000)
+    harness.offer(1)
+    harness.stands(call=2)
+    harness.run(SECOND_US)
+    harness.end(Outcome.TIMEOUT, call=1)
+    assert not harness.controller.exchanges[exchange_id(1)].open
 
 
 def test_falling_can_take_lowers_f_and_an_old_figure_does_not() -> None:
-    rig = Rig()
+    harness = ControllerHarness()
     for value in (12.0, 3.0):
-        rig.tell(api.LoadSeen(xid(1), Outcome.OK, 9, api.Load(can_take=value)))
-    rig.run(SECOND)
-    low = rig.brain.exchanges[xid(1)].f
+        harness.send_event(api.LoadSeen(exchange_id(1), Outcome.OK, 9, api.Load(can_take=value)))
+    harness.run(SECOND_US)
+    low = harness.controller.exchanges[exchange_id(1)].f
     assert low == pytest.approx(0.5)
-    rig.run(SECOND)
-    assert rig.brain.exchanges[xid(1)].f > low
+    harness.run(SECOND_US)
+    assert harness.controller.exchanges[exchange_id(1)].f > low
 
 
 def test_unknown_load_is_not_zero_load() -> None:
-    rig = Rig()
-    rig.tell(api.LoadSeen(xid(1), Outcome.OK, 9, api.Load(utilisation=0.95)))
-    rig.tell(api.LoadSeen(xid(1), Outcome.OK, 9, api.Load()))
-    rig.run(SECOND)
-    assert rig.brain.exchanges[xid(1)].f < 1.0
+    harness = ControllerHarness()
+    harness.send_event(api.LoadSeen(exchange_id(1), Outcome.OK, 9, api.Load(utilisation=0.95)))
+    harness.send_event(api.LoadSeen(exchange_id(1), Outcome.OK, 9, api.Load()))
+    harness.run(SECOND_US)
+    assert harness.controller.exchanges[exchange_id(1)].f < 1.0
 
 
 def test_long_set_up_delay_beyond_our_own_lowers_f() -> None:
-    rig = Rig()
+    harness = ControllerHarness()
     for _ in range(6):
         for cell, took in ((1, 1_400_000), (2, 50_000), (3, 50_000)):
-            rig.offer(cell)
-            rig.stands(cell, took=took)
-    rig.run(SECOND)
-    assert rig.brain.exchanges[xid(1)].f < 1.0 and rig.brain.exchanges[xid(2)].f == 1.0
+            harness.offer(cell)
+            harness.stands(cell, took=took)
+    harness.run(SECOND_US)
+    assert (
+        harness.controller.exchanges[exchange_id(1)].f < 1.0
+        and harness.controller.exchanges[exchange_id(2)].f == 1.0
+    )
 
 
 def test_trunk_reservation_keeps_the_last_circuits_for_direct_calls() -> None:
-    rig = Rig()
-    rig.circuits(1, 0)
+    harness = ControllerHarness()
+    harness.circuits(1, 0)
     for cell in (2, 3):
-        rig.circuits(cell, 5)
-    assert only(rig.offer(1), api.Refuse)
-    assert only(rig.offer(2), api.SetUp)
+        harness.circuits(cell, 5)
+    assert actions_of_type(harness.offer(1), api.Refuse)
+    assert actions_of_type(harness.offer(2), api.SetUp)
 
 
 def test_no_overflow_towards_a_pressed_processor() -> None:
-    rig = Rig()
-    rig.circuits(1, 0)
-    rig.brain.exchanges[xid(1)].f = 0.5
-    assert only(rig.offer(1), api.Refuse)
+    harness = ControllerHarness()
+    harness.circuits(1, 0)
+    harness.controller.exchanges[exchange_id(1)].f = 0.5
+    assert actions_of_type(harness.offer(1), api.Refuse)
 
 
 def test_crankback_tries_another_tandem_within_the_attempts() -> None:
-    rig = Rig(attempts=2)
-    rig.circuits(1, 0)
-    (one,) = only(rig.offer(1), api.SetUp)
-    (two,) = only(rig.end(Outcome.REJECTED, one.exchange[2], cause=Cause.TURNED_BACK), api.SetUp)
+    harness = ControllerHarness(attempts=2)
+    harness.circuits(1, 0)
+    (one,) = actions_of_type(harness.offer(1), api.SetUp)
+    (two,) = actions_of_type(
+        harness.end(Outcome.REJECTED, one.exchange[2], cause=Cause.TURNED_BACK), api.SetUp
+    )
     assert two.exchange != one.exchange
-    last = rig.end(Outcome.REJECTED, two.exchange[2], attempt=1, cause=Cause.TURNED_BACK)
-    assert only(last, api.Refuse)
-    assert not only(last, api.SetUp)
+    last = harness.end(Outcome.REJECTED, two.exchange[2], attempt=1, cause=Cause.TURNED_BACK)
+    assert actions_of_type(last, api.Refuse)
+    assert not actions_of_type(last, api.SetUp)
 
 
 def test_a_full_processor_beyond_is_not_tried_again() -> None:
-    rig = Rig()
-    rig.circuits(1, 0)
-    (one,) = only(rig.offer(1), api.SetUp)
-    back = rig.end(Outcome.REJECTED, one.exchange[2], cause=Cause.TURNED_BACK, beyond_full=True)
-    assert only(back, api.Refuse)
+    harness = ControllerHarness()
+    harness.circuits(1, 0)
+    (one,) = actions_of_type(harness.offer(1), api.SetUp)
+    back = harness.end(Outcome.REJECTED, one.exchange[2], cause=Cause.TURNED_BACK, beyond_full=True)
+    assert actions_of_type(back, api.Refuse)
 
 
 def test_the_draw_refuses_low_worth_first_at_equal_mean() -> None:
-    rig = Rig()
-    target = rig.brain.exchanges[xid(1)]
+    harness = ControllerHarness()
+    target = harness.controller.exchanges[exchange_id(1)]
     taken = {0: 0, 1: 0}
     for index in range(400):
         kind = index % 2
-        rig.circuits(1, 20)
+        harness.circuits(1, 20)
         target.f = 0.5
-        if only(rig.offer(1, call_class=kind), api.SetUp):
+        if actions_of_type(harness.offer(1, call_class=kind), api.SetUp):
             taken[kind] += 1
-            rig.stands()
+            harness.stands()
     assert taken[1] > 190 and taken[0] < 20
 
 
 def test_redialled_calls_rank_below_first_tries() -> None:
-    rig = Rig()
-    target = rig.brain.exchanges[xid(1)]
+    harness = ControllerHarness()
+    target = harness.controller.exchanges[exchange_id(1)]
     taken = {True: 0, False: 0}
     for index in range(200):
-        rig.circuits(1, 20)
+        harness.circuits(1, 20)
         target.f = 0.5
-        if only(rig.offer(1, redialled=index % 2 == 0), api.SetUp):
+        if actions_of_type(harness.offer(1, redialled=index % 2 == 0), api.SetUp):
             taken[index % 2 == 0] += 1
-            rig.stands()
+            harness.stands()
     assert taken[False] > 4 * taken[True]
 
 
 def test_numbers_found_engaged_are_remembered_for_a_bounded_time_and_number() -> None:
-    rig = Rig()
+    harness = ControllerHarness()
     for number in range(100, 400):
-        rig.circuits(1, 20)
-        rig.offer(1, number=number)
-        rig.end(Outcome.ERROR, cause=Cause.LINES_ENGAGED)
-    assert len(rig.brain.engaged) == brain.ENGAGED_KEPT
-    rig.run(brain.ENGAGED_US)
-    rig.circuits(1, 0)
-    assert only(rig.offer(1, number=399), api.SetUp)
+        harness.circuits(1, 20)
+        harness.offer(1, number=number)
+        harness.end(Outcome.ERROR, cause=Cause.LINES_ENGAGED)
+    assert len(harness.controller.engaged) == brain.ENGAGED_KEPT
+    harness.run(brain.ENGAGED_US)
+    harness.circuits(1, 0)
+    assert actions_of_type(harness.offer(1, number=399), api.SetUp)
 
 
 def test_attempts_end_with_the_aim() -> None:
-    rig = Rig()
-    (sent,) = only(rig.offer(1), api.SetUp)
+    harness = ControllerHarness()
+    (sent,) = actions_of_type(harness.offer(1), api.SetUp)
     assert sent.limit_us == 1_500_000
 
 
@@ -379,65 +396,65 @@
 
 
 def test_pools_take_second_choices_of_the_class_only() -> None:
-    kind = api.ClassOfCall(aim_us=SECOND, deadline_us=9 * SECOND, pools=(1, 3))
-    rig = Rig(pools=True, home=-1, classes=[kind])
-    rig.circuits(1, 0)
-    assert [a.exchange for a in only(rig.offer(1), api.SetUp)] == [xid(3)]
+    kind = api.ClassOfCall(aim_us=SECOND_US, deadline_us=9 * SECOND_US, pools=(1, 3))
+    harness = ControllerHarness(pools=True, home=-1, classes=[kind])
+    harness.circuits(1, 0)
+    assert [a.exchange for a in actions_of_type(harness.offer(1), api.SetUp)] == [exchange_id(3)]
 
 
 def test_wide_calls_need_that_many_circuits() -> None:
-    rig = Rig()
-    rig.circuits(1, 3)
-    assert only(rig.offer(1, width=4.0), api.SetUp)[0].exchange != xid(1)
+    harness = ControllerHarness()
+    harness.circuits(1, 3)
+    assert actions_of_type(harness.offer(1, width=4.0), api.SetUp)[0].exchange != exchange_id(1)
 
 
 def test_discovery_on_request_is_asked_for_again_until_it_answers() -> None:
-    rig = Rig(on_request=True, ask_within_us=4 * SECOND)
-    assert len(only(rig.seen, api.Subscribe)) == 1
-    rig.tell(api.Discovery(api.ListMode.FAILED, []))
-    rig.run(3 * SECOND)
-    assert len(only(rig.seen, api.Subscribe)) >= 2
-    rig.tell(api.Discovery(api.ListMode.DELTA, []))
-    rig.seen.clear()
-    rig.run(20 * SECOND)
-    assert not only(rig.seen, api.Subscribe)
-    rig.tell(api.Discovery(api.ListMode.FAILED, []))
-    rig.run(3 * SECOND)
-    assert only(rig.seen, api.Subscribe)
+    harness = ControllerHarness(on_request=True, ask_within_us=4 * SECOND_US)
+    assert len(actions_of_type(harness.actions, api.Subscribe)) == 1
+    harness.send_event(api.Discovery(api.ListMode.FAILED, []))
+    harness.run(3 * SECOND_US)
+    assert len(actions_of_type(harness.actions, api.Subscribe)) >= 2
+    harness.send_event(api.Discovery(api.ListMode.DELTA, []))
+    harness.actions.clear()
+    harness.run(20 * SECOND_US)
+    assert not actions_of_type(harness.actions, api.Subscribe)
+    harness.send_event(api.Discovery(api.ListMode.FAILED, []))
+    harness.run(3 * SECOND_US)
+    assert actions_of_type(harness.actions, api.Subscribe)
 
 
 def test_no_cancel_where_it_is_not_allowed() -> None:
-    rig = Rig(may_cancel=False)
-    rig.offer(1, left=SECOND)
-    rig.run(2 * SECOND)
-    assert only(rig.seen, api.Fail) and not only(rig.seen, api.Cancel)
+    harness = ControllerHarness(may_cancel=False)
+    harness.offer(1, left=SECOND_US)
+    harness.run(2 * SECOND_US)
+    assert actions_of_type(harness.actions, api.Fail) and not actions_of_type(harness.actions, api.Cancel)
 
 
 def test_senseless_events_do_no_harm() -> None:
-    rig = Rig()
-    rig.tell(api.PeerReport(77, 0.0, 0))
-    rig.tell(api.TimerDue(999_999))
-    rig.tell(api.CallStands(77, 0, b"??????", 5))
-    rig.end(Outcome.OK, call=77, final=True)
-    rig.tell(api.LoadSeen(b"??????", Outcome.OK, 0, api.Load(free_circuits=3)))
-    rig.tell(api.Discovery(api.ListMode.FAILED, []))
-    assert only(rig.offer(9), api.Refuse)
-    assert only(rig.offer(0), api.Refuse)
-    assert only(rig.offer(1, left=0), api.Fail)
-    assert only(rig.offer(1, call_class=9), api.Refuse)
-    assert only(rig.offer(1), api.SetUp)
+    harness = ControllerHarness()
+    harness.send_event(api.PeerReport(77, 0.0, 0))
+    harness.send_event(api.TimerDue(999_999))
+    harness.send_event(api.CallStands(77, 0, b"??????", 5))
+    harness.end(Outcome.OK, call=77, final=True)
+    harness.send_event(api.LoadSeen(b"??????", Outcome.OK, 0, api.Load(free_circuits=3)))
+    harness.send_event(api.Discovery(api.ListMode.FAILED, []))
+    assert actions_of_type(harness.offer(9), api.Refuse)
+    assert actions_of_type(harness.offer(0), api.Refuse)
+    assert actions_of_type(harness.offer(1, left=0), api.Fail)
+    assert actions_of_type(harness.offer(1, call_class=9), api.Refuse)
+    assert actions_of_type(harness.offer(1), api.SetUp)
 
 
 def test_state_is_bounded() -> None:
-    rig = Rig()
+    harness = ControllerHarness()
     for number in range(3000):
-        rig.circuits(1, 20)
-        rig.offer(1, number=number)
-        rig.stands()
-        rig.run(50_000)
-    state = rig.brain
-    assert not state.calls and len(state.timers) < 70 and not state.exchanges[xid(1)].waiting
-    assert len(state.exchanges[xid(1)].sends) < 60
+        harness.circuits(1, 20)
+        harness.offer(1, number=number)
+        harness.stands()
+        harness.run(50_000)
+    state = harness.controller
+    assert not state.calls and len(state.timers) < 70 and not state.exchanges[exchange_id(1)].waiting
+    assert len(state.exchanges[exchange_id(1)].sends) < 60
 
 
 def test_module_limits() -> None:
@@ -447,197 +464,208 @@
 
 
 def test_no_overflow_for_a_number_lately_engaged() -> None:
-    rig = Rig()
-    rig.offer(1, number=7)
-    rig.end(Outcome.ERROR, cause=Cause.LINES_ENGAGED)
-    rig.run(SECOND)
-    rig.circuits(1, 0)
-    assert only(rig.offer(1, number=7), api.Refuse)
-    assert only(rig.offer(1, number=8), api.SetUp)
+    harness = ControllerHarness()
+    harness.offer(1, number=7)
+    harness.end(Outcome.ERROR, cause=Cause.LINES_ENGAGED)
+    harness.run(SECOND_US)
+    harness.circuits(1, 0)
+    assert actions_of_type(harness.offer(1, number=7), api.Refuse)
+    assert actions_of_type(harness.offer(1, number=8), api.SetUp)
 
 
 def test_redialled_calls_leave_the_last_circuits_to_first_tries() -> None:
-    rig = Rig(cells=2)
-    rig.circuits(1, 2)
-    assert only(rig.offer(1, redialled=True), api.Refuse)
-    assert only(rig.offer(1), api.SetUp)
+    harness = ControllerHarness(cells=2)
+    harness.circuits(1, 2)
+    assert actions_of_type(harness.offer(1, redialled=True), api.Refuse)
+    assert actions_of_type(harness.offer(1), api.SetUp)
 
 
 def test_an_exchange_found_unreachable_comes_back_slowly() -> None:
-    rig = Rig()
-    rig.offer(1)
-    rig.end(Outcome.UNREACHABLE)
-    rig.run(3 * SECOND)
-    rig.offer(1)
-    rig.stands()
-    rig.seen.clear()
+    harness = ControllerHarness()
+    harness.offer(1)
+    harness.end(Outcome.UNREACHABLE)
+    harness.run(3 * SECOND_US)
+    harness.offer(1)
+    harness.stands()
+    harness.actions.clear()
     for _ in range(10):
-        rig.circuits(1, 20)
-        rig.offer(1)
-    assert not only(rig.seen, api.SetUp)
-    rig.run(10 * SECOND)
-    assert only(rig.offer(1), api.SetUp)
+        harness.circuits(1, 20)
+        harness.offer(1)
+    assert not actions_of_type(harness.actions, api.SetUp)
+    harness.run(10 * SECOND_US)
+    assert actions_of_type(harness.offer(1), api.SetUp)
 
 
 @pytest.mark.parametrize("value", [-1.0, float("nan"), float("inf"), 1e30])
 def test_absurd_load_figures_are_unknown(value: float) -> None:
-    rig = Rig()
+    harness = ControllerHarness()
     load = api.Load(free_circuits=value, group_size=value, utilisation=value, can_take=value)
-    rig.tell(api.LoadSeen(xid(1), Outcome.OK, 9, load))
-    rig.tell(api.LoadSeen(xid(1), Outcome.OK, 9, api.Load(can_take=12.0)))
-    rig.run(3 * SECOND)
-    assert rig.brain.exchanges[xid(1)].f == 1.0 and rig.brain.exchanges[xid(1)].free == 20
+    harness.send_event(api.LoadSeen(exchange_id(1), Outcome.OK, 9, load))
+    harness.send_event(api.LoadSeen(exchange_id(1), Outcome.OK, 9, api.Load(can_take=12.0)))
+    harness.run(3 * SECOND_US)
+    assert (
+        harness.controller.exchanges[exchange_id(1)].f == 1.0
+        and harness.controller.exchanges[exchange_id(1)].free == 20
+    )
 
 
 def test_rule_4_the_share_shrinks_with_the_number_of_agents() -> None:
-    rig = Rig(agents=50)
+    harness = ControllerHarness(agents=50)
     for cell in (2, 3):
-        rig.tell(api.LoadSeen(xid(cell), Outcome.OK, 9, api.Load(can_take=10.0)))
-    rig.tell(api.Discovery(api.ListMode.DELTA, [api.Entry(xid(1), 1, launched_us=START)]))
+        harness.send_event(api.LoadSeen(exchange_id(cell), Outcome.OK, 9, api.Load(can_take=10.0)))
+    harness.send_event(
+        api.Discovery(api.ListMode.DELTA, [api.Entry(exchange_id(1), 1, launched_us=START_US)])
+    )
     for _ in range(50):
-        rig.offer(1)
-        rig.stands()
-        rig.run(100_000)
-    assert len(only(rig.seen, api.SetUp)) == 1  # 2 x 0.3 x 10 a second / 50 x 2 s is a quarter of a call
-    rig.run(6 * SECOND)  # warm by now
-    assert only(rig.offer(1), api.SetUp)
+        harness.offer(1)
+        harness.stands()
+        harness.run(100_000)
+    # 2 x 0.3 x 10 a second / 50 x 2 s is a quarter of a call.
+    assert len(actions_of_type(harness.actions, api.SetUp)) == 1
+    harness.run(6 * SECOND_US)  # warm by now
+    assert actions_of_type(harness.offer(1), api.SetUp)
 
 
 def test_rule_4_sends_before_the_news_of_a_start_count() -> None:
-    rig = Rig()
-    rig.offer(1)
-    rig.stands()
-    rig.tell(api.Discovery(api.ListMode.DELTA, [api.Entry(xid(1), 1, launched_us=START)]))
-    assert only(rig.offer(1), api.Refuse)
+    harness = ControllerHarness()
+    harness.offer(1)
+    harness.stands()
+    harness.send_event(
+        api.Discovery(api.ListMode.DELTA, [api.Entry(exchange_id(1), 1, launched_us=START_US)])
+    )
+    assert actions_of_type(harness.offer(1), api.Refuse)
 
 
 # What agents tell each other.
 
 
 def test_overflow_goes_only_where_a_tandem_told_of_room() -> None:
-    rig = Rig(may_message=True)
-    rig.circuits(1, 0)
-    rig.tell(api.PeerReport(2, 1.0, 0b1000))  # circuits to 3 only
+    harness = ControllerHarness(may_message=True)
+    harness.circuits(1, 0)
+    harness.send_event(api.PeerReport(2, 1.0, 0b1000))  # circuits to 3 only
     for _ in range(10):
-        (sent,) = only(rig.offer(1), api.SetUp)
-        assert sent.exchange == xid(3)
-        rig.stands(3)
-        rig.circuits(3, 20)
-    rig.tell(api.PeerReport(3, 1.0, 0))
-    assert only(rig.offer(1), api.Refuse)
-    rig.tell(api.PeerReport(2, 1.0, 0b10))
-    assert only(rig.offer(1), api.SetUp)[0].exchange == xid(2)
+        (sent,) = actions_of_type(harness.offer(1), api.SetUp)
+        assert sent.exchange == exchange_id(3)
+        harness.stands(3)
+        harness.circuits(3, 20)
+    harness.send_event(api.PeerReport(3, 1.0, 0))
+    assert actions_of_type(harness.offer(1), api.Refuse)
+    harness.send_event(api.PeerReport(2, 1.0, 0b10))
+    assert actions_of_type(harness.offer(1), api.SetUp)[0].exchange == exchange_id(2)
 
 
 def test_a_told_fraction_holds_back_calls_and_overflow_and_fades_without_news() -> None:
-    rig = Rig(may_message=True)
-    rig.tell(api.PeerReport(1, 0.0, 0))
-    assert sum(len(only(rig.offer(1), api.SetUp)) for _ in range(100)) < 30
-    rig.circuits(2, 0)
-    assert all(a.exchange != xid(1) for a in only(rig.offer(2), api.SetUp))
-    rig.run(120 * SECOND)
-    assert rig.brain.exchanges[xid(1)].told == 1.0
+    harness = ControllerHarness(may_message=True)
+    harness.send_event(api.PeerReport(1, 0.0, 0))
+    assert sum(len(actions_of_type(harness.offer(1), api.SetUp)) for _ in range(100)) < 30
+    harness.circuits(2, 0)
+    assert all(a.exchange != exchange_id(1) for a in actions_of_type(harness.offer(2), api.SetUp))
+    harness.run(120 * SECOND_US)
+    assert harness.controller.exchanges[exchange_id(1)].told == 1.0
 
 
 def test_a_processor_whose_every_set_up_waits_is_told_and_holds_its_own_calls() -> None:
-    rig = Rig(may_message=True)
+    harness = ControllerHarness(may_message=True)
     for took in [20_000] * 6 + [900_000] * 24:
         for cell in (1, 2, 3):
-            if only(rig.offer(cell), api.SetUp):
-                rig.stands(cell, took=took)
-            rig.circuits(cell, 20)
-        rig.run(500_000)
-    assert only(rig.seen, api.PeerReport)[-1].accept < 0.5
-    assert only(rig.seen, api.PeerReport)[-1].cell == 0
+            if actions_of_type(harness.offer(cell), api.SetUp):
+                harness.stands(cell, took=took)
+            harness.circuits(cell, 20)
+        harness.run(500_000)
+    assert actions_of_type(harness.actions, api.PeerReport)[-1].accept < 0.5
+    assert actions_of_type(harness.actions, api.PeerReport)[-1].cell == 0
 
 
 def test_a_hung_own_processor_is_told_within_a_few_seconds() -> None:
-    rig = Rig(may_message=True)
+    harness = ControllerHarness(may_message=True)
     for _ in range(4):
         for cell in (1, 2, 3):
-            rig.offer(cell)
-        rig.run(500_000)
-    assert only(rig.seen, api.PeerReport)[-1].accept < 0.8
+            harness.offer(cell)
+        harness.run(500_000)
+    assert actions_of_type(harness.actions, api.PeerReport)[-1].accept < 0.8
 
 
 def test_one_slow_far_processor_is_not_taken_for_our_own() -> None:
-    rig = Rig(may_message=True)
+    harness = ControllerHarness(may_message=True)
     for _ in range(20):
         for cell, took in ((1, 1_400_000), (2, 30_000), (3, 30_000)):
-            rig.offer(cell)
-            rig.stands(cell, took=took)
-            rig.circuits(cell, 20)
-        rig.run(500_000)
-    assert all(a.accept == 1.0 for a in only(rig.seen, api.PeerReport))
+            harness.offer(cell)
+            harness.stands(cell, took=took)
+            harness.circuits(cell, 20)
+        harness.run(500_000)
+    assert all(a.accept == 1.0 for a in actions_of_type(harness.actions, api.PeerReport))
 
 
 def test_reports_of_a_mesh_of_60_are_few_and_none_where_not_allowed() -> None:
-    rig = Rig(cells=60, agents=60, may_message=True)
-    rig.run(200 * SECOND)
-    assert 1 <= len(only(rig.seen, api.PeerReport)) <= 4
-    assert only(rig.seen, api.PeerReport)[0].room == (1 << 60) - 2
-    silent = Rig(cells=60, agents=60)
-    silent.run(60 * SECOND)
-    assert not only(silent.seen, api.PeerReport)
+    harness = ControllerHarness(cells=60, agents=60, may_message=True)
+    harness.run(200 * SECOND_US)
+    assert 1 <= len(actions_of_type(harness.actions, api.PeerReport)) <= 4
+    assert actions_of_type(harness.actions, api.PeerReport)[0].room == (1 << 60) - 2
+    silent = ControllerHarness(cells=60, agents=60)
+    silent.run(60 * SECOND_US)
+    assert not actions_of_type(silent.actions, api.PeerReport)
 
 
 def test_news_waits_while_many_others_tell_theirs() -> None:
     told = {}
     for heard in (0, 90):
-        rig = Rig(cells=100, agents=100, may_message=True)
-        rig.run(2 * SECOND)
-        rig.seen.clear()
+        harness = ControllerHarness(cells=100, agents=100, may_message=True)
+        harness.run(2 * SECOND_US)
+        harness.actions.clear()
         for _ in range(8):
             for cell in range(1, 60):
-                rig.offer(cell)
+                harness.offer(cell)
             for cell in range(heard):
-                rig.tell(api.PeerReport(cell % 99 + 1, 0.5, 0))
-            rig.run(SECOND)
-        told[heard] = len(only(rig.seen, api.PeerReport))
+                harness.send_event(api.PeerReport(cell % 99 + 1, 0.5, 0))
+            harness.run(SECOND_US)
+        told[heard] = len(actions_of_type(harness.actions, api.PeerReport))
     assert told[0] >= 2 and told[90] <= 1
 
 
 def test_full_answers_from_everywhere_are_our_own_processors() -> None:
-    rig = Rig(may_message=True)
+    harness = ControllerHarness(may_message=True)
     for _ in range(6):
         for cell in (1, 2, 3):
-            if only(rig.offer(cell), api.SetUp):
-                rig.end(Outcome.REJECTED, cell, cause=Cause.PROCESSOR_FULL)
-        rig.run(500_000)
-    assert min(a.accept for a in only(rig.seen, api.PeerReport)) < 0.6
-    other = Rig(may_message=True)  # full from one, while calls to the others stand: the far one's
+            if actions_of_type(harness.offer(cell), api.SetUp):
+                harness.end(Outcome.REJECTED, cell, cause=Cause.PROCESSOR_FULL)
+        harness.run(500_000)
+    assert min(a.accept for a in actions_of_type(harness.actions, api.PeerReport)) < 0.6
+    # Full from one, while calls to the others stand: the far one's.
+    other = ControllerHarness(may_message=True)
     for _ in range(6):
-        if only(other.offer(1), api.SetUp):
+        if actions_of_type(other.offer(1), api.SetUp):
             other.end(Outcome.REJECTED, 1, cause=Cause.PROCESSOR_FULL)
         other.offer(2)
         other.stands(2)
         other.run(500_000)
-    assert other.brain.told == 1.0
+    assert other.controller.told == 1.0
 
 
 def test_redialled_calls_take_no_second_group() -> None:
-    rig = Rig()
+    harness = ControllerHarness()
     for free in (0.0, 1.0):  # none, and none beyond the reservation
-        rig.circuits(1, free)
-        assert only(rig.offer(1, redialled=True), api.Refuse)
-    assert only(rig.offer(1), api.SetUp)
+        harness.circuits(1, free)
+        assert actions_of_type(harness.offer(1, redialled=True), api.Refuse)
+    assert actions_of_type(harness.offer(1), api.SetUp)
 
 
 def test_rule_4_a_cold_exchange_is_measured_by_what_it_could_take_and_says_it_can() -> None:
     sent = {}
     for said in (None, 12.0, 1000.0):
-        rig = Rig(agents=4)
-        rig.tell(api.LoadSeen(xid(1), Outcome.OK, 9, api.Load(can_take=20.0)))
-        rig.tell(api.Discovery(api.ListMode.DELTA, [api.Entry(xid(1), 1, launched_us=rig.now)]))
-        rig.run(5 * SECOND)
+        harness = ControllerHarness(agents=4)
+        harness.send_event(api.LoadSeen(exchange_id(1), Outcome.OK, 9, api.Load(can_take=20.0)))
+        harness.send_event(
+            api.Discovery(api.ListMode.DELTA, [api.Entry(exchange_id(1), 1, launched_us=harness.now)])
+        )
+        harness.run(5 * SECOND_US)
         if said:
-            rig.tell(api.LoadSeen(xid(1), Outcome.OK, 9, api.Load(can_take=said)))
-        rig.seen.clear()
+            harness.send_event(api.LoadSeen(exchange_id(1), Outcome.OK, 9, api.Load(can_take=said)))
+        harness.actions.clear()
         for _ in range(60):
-            rig.circuits(1, 20)
-            if only(rig.offer(1), api.SetUp):
-                rig.stands()
-        sent[said] = len(only(rig.seen, api.SetUp))
+            harness.circuits(1, 20)
+            if actions_of_type(harness.offer(1), api.SetUp):
+                harness.stands()
+        sent[said] = len(actions_of_type(harness.actions, api.SetUp))
     share = 2.0 * 2 / 4  # multiple x window over agents
     assert sent[None] == share * 0.3 * 20  # the coldest share of what it could take before
     assert sent[12.0] == share * 12  # what it says
@@ -647,32 +675,34 @@
 def test_rule_4_in_a_mesh_of_60_all_agents_together_keep_the_budget() -> None:
     sent = 0
     for seed in range(60):
-        rig = Rig(cells=60, seed=seed, agents=60)
+        harness = ControllerHarness(cells=60, seed=seed, agents=60)
         for cell in range(2, 60):
-            rig.tell(api.LoadSeen(xid(cell), Outcome.OK, 9, api.Load(can_take=12.0)))
-        rig.tell(api.LoadSeen(xid(1), Outcome.OK, 9, api.Load(can_take=12.0)))
-        rig.offer(1)
-        rig.stands()
-        rig.tell(api.Discovery(api.ListMode.DELTA, [api.Entry(xid(1), 1, launched_us=rig.now)]))
-        rig.seen.clear()
+            harness.send_event(api.LoadSeen(exchange_id(cell), Outcome.OK, 9, api.Load(can_take=12.0)))
+        harness.send_event(api.LoadSeen(exchange_id(1), Outcome.OK, 9, api.Load(can_take=12.0)))
+        harness.offer(1)
+        harness.stands()
+        harness.send_event(
+            api.Discovery(api.ListMode.DELTA, [api.Entry(exchange_id(1), 1, launched_us=harness.now)])
+        )
+        harness.actions.clear()
         for _ in range(18):
-            rig.offer(1)
-            rig.run(500_000)
-        sent += len(only(rig.seen, api.SetUp))
+            harness.offer(1)
+            harness.run(500_000)
+        sent += len(actions_of_type(harness.actions, api.SetUp))
     assert 0 < sent <= 2.0 * 0.3 * 12 * 9  # multiple x coldest share x size over nine seconds
 
 
 def test_a_burst_is_held_back_within_the_epoch() -> None:
-    rig = Rig()
+    harness = ControllerHarness()
     sent = 0
     for cell in (1, 2, 3) * 40:
-        rig.circuits(cell, 20)
-        sent += len(only(rig.offer(cell), api.SetUp))
+        harness.circuits(cell, 20)
+        sent += len(actions_of_type(harness.offer(cell), api.SetUp))
     assert brain.BURST_LEAST <= sent < 60
-    steady = Rig()  # as many calls, each standing before the next: no burst
+    steady = ControllerHarness()  # as many calls, each standing before the next: no burst
     for cell in (1, 2, 3) * 40:
         steady.circuits(cell, 20)
-        assert only(steady.offer(cell), api.SetUp)
+        assert actions_of_type(steady.offer(cell), api.SetUp)
         steady.stands(cell)
 
 
@@ -680,45 +710,45 @@
 
 
 def test_a_group_of_size_0_is_never_sent_to_directly() -> None:
-    rig = Rig(may_message=True)
-    rig.circuits(1, 0, 0)
-    (sent,) = only(rig.offer(1), api.SetUp)
-    assert sent.exchange != xid(1)
-    rig.run(10 * SECOND)
-    assert not only(rig.seen, api.PeerReport)[-1].room & 0b10
+    harness = ControllerHarness(may_message=True)
+    harness.circuits(1, 0, 0)
+    (sent,) = actions_of_type(harness.offer(1), api.SetUp)
+    assert sent.exchange != exchange_id(1)
+    harness.run(10 * SECOND_US)
+    assert not actions_of_type(harness.actions, api.PeerReport)[-1].room & 0b10
 
 
 def test_lists_alike_in_all_attributes_are_followed() -> None:
-    rig = Rig()
-    rig.tell(api.Discovery(api.ListMode.FULL, [api.Entry(xid(c), 1) for c in range(4)]))
-    assert only(rig.offer(1), api.SetUp)
-    assert only(rig.offer(2), api.Refuse)
+    harness = ControllerHarness()
+    harness.send_event(api.Discovery(api.ListMode.FULL, [api.Entry(exchange_id(c), 1) for c in range(4)]))
+    assert actions_of_type(harness.offer(1), api.SetUp)
+    assert actions_of_type(harness.offer(2), api.Refuse)
 
 
 def test_hours_of_service_leave_bounded_state_and_open_fractions() -> None:
-    rig = Rig(may_message=True)
+    harness = ControllerHarness(may_message=True)
     for turn in range(400):
         for cell in (1, 2, 3):
-            rig.circuits(cell, 20)
-            rig.offer(cell, number=turn)
-            rig.stands(cell)
+            harness.circuits(cell, 20)
+            harness.offer(cell, number=turn)
+            harness.stands(cell)
         if turn % 10 == 0:
-            rig.tell(api.PeerReport(1, 0.2, 0b1100))
-        rig.run(30 * SECOND)
-    state = rig.brain
+            harness.send_event(api.PeerReport(1, 0.2, 0b1100))
+        harness.run(30 * SECOND_US)
+    state = harness.controller
     assert not state.calls and len(state.timers) <= 2 and len(state.engaged) <= brain.ENGAGED_KEPT
     assert state.f == state.told == 1.0 and all(x.f == 1.0 for x in state.exchanges.values())
-    assert only(rig.offer(2), api.SetUp)
+    assert actions_of_type(harness.offer(2), api.SetUp)
 
 
 @pytest.mark.parametrize(
-    ("allowed", "transit", "advice"), [(True, False, SECOND), (True, True, 0), (False, False, 0)]
+    ("allowed", "transit", "advice"), [(True, False, SECOND_US), (True, True, 0), (False, False, 0)]
 )
 def test_a_refusal_says_when_to_come_back_where_callers_hear_it(
     allowed: bool, transit: bool, advice: int
 ) -> None:
-    rig = Rig(retry_after=allowed, max_retry_after_us=2 * SECOND)
-    (refused,) = only(rig.offer(9, in_transit=transit), api.Refuse)
+    harness = ControllerHarness(retry_after=allowed, max_retry_after_us=2 * SECOND_US)
+    (refused,) = actions_of_type(harness.offer(9, in_transit=transit), api.Refuse)
     assert refused.retry_after_us == advice
 
 
@@ -735,27 +765,29 @@
     changes: dict[str, Any], ended: dict[str, Any], sent: int
 ) -> None:
     """Three more times, to the same exchange; errors may be a share of all only."""
-    rig = Rig(classes=[api.ClassOfCall(**{"aim_us": SECOND, "deadline_us": 9 * SECOND} | changes)])
-    rig.offer(1)
-    assert only(rig.end(Outcome.ERROR), api.Fail)  # a lone error is not worth the work
-    actions, made = rig.offer(1), 0
-    while only(actions, api.SetUp):
-        assert only(actions, api.SetUp)[0].exchange == xid(1)
-        rig.now += 60_000
-        actions, made = rig.end(Outcome.ERROR, attempt=made, **ended), made + 1
-    assert made == sent and len(only(actions, api.Fail)) == 1
+    harness = ControllerHarness(
+        classes=[api.ClassOfCall(**{"aim_us": SECOND_US, "deadline_us": 9 * SECOND_US} | changes)]
+    )
+    harness.offer(1)
+    assert actions_of_type(harness.end(Outcome.ERROR), api.Fail)  # a lone error is not worth the work
+    actions, made = harness.offer(1), 0
+    while actions_of_type(actions, api.SetUp):
+        assert actions_of_type(actions, api.SetUp)[0].exchange == exchange_id(1)
+        harness.now += 60_000
+        actions, made = harness.end(Outcome.ERROR, attempt=made, **ended), made + 1
+    assert made == sent and len(actions_of_type(actions, api.Fail)) == 1
 
 
 def test_a_lost_answer_is_no_queue() -> None:
     """One set-up in ten stays unanswered while later ones stand: nothing is refused for it."""
-    rig = Rig(classes=[api.ClassOfCall(aim_us=300_000, deadline_us=2 * SECOND)])
+    harness = ControllerHarness(classes=[api.ClassOfCall(aim_us=300_000, deadline_us=2 * SECOND_US)])
     refused = 0
     for at in range(200):
-        rig.circuits(1, 20)
-        refused += len(only(rig.offer(1), api.Refuse))
-        rig.run(20_000)
+        harness.circuits(1, 20)
+        refused += len(actions_of_type(harness.offer(1), api.Refuse))
+        harness.run(20_000)
         if at % 10:
-            rig.stands(took=20_000)
+            harness.stands(took=20_000)
         elif at > 10:
-            rig.end(Outcome.TIMEOUT, call=rig.calls - 10)
+            harness.end(Outcome.TIMEOUT, call=harness.calls - 10)
     assert not refused
--- a/tests/test_fuzz.py
+++ b/tests/test_fuzz.py
@@ -12,15 +12,15 @@
 from barleywheel.core.model import Rejection
 from barleywheel.fronts.platform import Caller
 from barleywheel.fuzz import corpus
-from barleywheel.fuzz.engine import Fuzzing, breaks, smallest
-from barleywheel.fuzz.plants import PACKAGE, PLANTS
-from barleywheel.fuzz.scripts import Play
-from barleywheel.fuzz.source import FromBytes, Seeded
+from barleywheel.fuzz.engine import FuzzSession, shrink_finding, violates
+from barleywheel.fuzz.plants import PACKAGE, PLANTED_FAULTS
+from barleywheel.fuzz.scripts import ScriptRunner
+from barleywheel.fuzz.source import ByteSource, SeededSource
 from barleywheel.fuzz.targets import TARGETS
-from tests.netrig import ROOT
+from tests.network_harness import ROOT
 
 CORPUS = ROOT / "fuzz" / "corpus"
-KEPT = [
+CORPUS_SLICES = [
     pytest.param(name, at, id=f"{name}-{at}")
     for name in TARGETS
     for at in range(0, len(corpus.load(CORPUS / f"{name}.jsonl")), 50)
@@ -44,67 +44,67 @@
     )
 
 
-@pytest.mark.parametrize(("name", "at"), KEPT)
+@pytest.mark.parametrize(("name", "at"), CORPUS_SLICES)
 def test_the_corpus_breaks_no_rule(name: str, at: int) -> None:
     """Fifty kept inputs at a time: the hard cases, what was found, and what reaches something of its own."""
-    for kept in corpus.load(CORPUS / f"{name}.jsonl")[at : at + 50]:
-        breaches, _ = TARGETS[name].check(kept.input)
-        assert not breaches, (kept.note, breaches[0], corpus.readable(kept.input))
+    for entry in corpus.load(CORPUS / f"{name}.jsonl")[at : at + 50]:
+        violations, _ = TARGETS[name].check(entry.input)
+        assert not violations, (entry.note, violations[0], corpus.format_input(entry.input))
 
 
 @pytest.mark.parametrize("name", list(TARGETS))
 def test_a_few_new_inputs_of_each_target_break_no_rule(name: str) -> None:
-    fuzzing = Fuzzing(TARGETS[name], 7, [])
+    session = FuzzSession(TARGETS[name], 7, [])
     for _ in range(12):
-        assert fuzzing.one() is None, fuzzing.done.findings
+        assert session.run_one() is None, session.progress.findings
 
 
 def test_the_same_script_is_played_the_same_twice() -> None:
-    script = TARGETS["router"].make(Seeded(11)) if TARGETS["router"].make else []
+    script = TARGETS["router"].make(SeededSource(11)) if TARGETS["router"].make else []
     first, second = (TARGETS["router"].check(script) for _ in range(2))
     assert first == second and first[1]
 
 
 def test_the_whole_router_serves_a_call_in_memory() -> None:
-    play = Play()
-    assert not play.run(CALL)
-    assert play.rules.counts["answer up"] >= 1 and play.rules.counts["release told"] >= 1
+    runner = ScriptRunner()
+    assert not runner.run(CALL)
+    assert runner.checker.counts["answer up"] >= 1 and runner.checker.counts["release told"] >= 1
 
 
 def test_a_second_answer_is_found_and_made_small(monkeypatch: pytest.MonkeyPatch) -> None:
     """A fault planted in what serves: the fuzzer finds it from nothing, and shrinks it to a call."""
-    tell = Caller.reject
+    reject = Caller.reject
 
     def twice(self: Caller, request: object, rejection: Rejection) -> None:
-        tell(self, request, rejection)  # type: ignore[arg-type]
-        tell(self, request, rejection)  # type: ignore[arg-type]
+        reject(self, request, rejection)  # type: ignore[arg-type]
+        reject(self, request, rejection)  # type: ignore[arg-type]
 
     monkeypatch.setattr(Caller, "reject", twice)
-    target, source = TARGETS["router"], Seeded(1)
+    target, source = TARGETS["router"], SeededSource(1)
     assert target.make is not None
     tried = (target.make(source) for _ in range(200))
-    found, breach = next(
-        (steps, breaches[0])
+    found, violation = next(
+        (steps, violations[0])
         for steps in tried
-        if (breaches := target.check(steps)[0]) and breaches[0].rule == "second answer"
+        if (violations := target.check(steps)[0]) and violations[0].rule == "second answer"
     )
-    small = smallest(target, found, breach)
+    small = shrink_finding(target, found, violation)
     assert len(small.input) <= 3
     monkeypatch.undo()
-    assert not breaks(TARGETS["router"], small.rule)(small.input)
+    assert not violates(TARGETS["router"], small.rule)(small.input)
 
 
 def test_a_dropped_answer_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
     """Nothing is told to the caller of a call that does not stand."""
     monkeypatch.setattr(Life, "_reject", lambda self, call, rejection: self.open.pop(call.request.ref))
     target = TARGETS["router"]
-    breaches, _ = target.check([["new", 0, 0, 1, False, 1, "", 0], ["wait", 1000], ["wait", 1000]])
-    assert breaches[0].rule == "no answer"
+    violations, _ = target.check([["new", 0, 0, 1, False, 1, "", 0], ["wait", 1000], ["wait", 1000]])
+    assert violations[0].rule == "no answer"
 
 
 def test_choices_from_bytes_end_in_zeros() -> None:
-    source = FromBytes(b"\x01\x02\x03")
-    assert [source.below(10), source.below(1000), source.below(10)] == [1, 515, 0] and source.empty
+    source = ByteSource(b"\x01\x02\x03")
+    assert [source.below(10), source.below(1000), source.below(10)] == [1, 515, 0] and source.exhausted
 
 
 def test_the_command_line_names_targets_and_replays(tmp_path: Path) -> None:
@@ -175,5 +175,5 @@
 
 
 def test_every_plant_still_fits_the_program() -> None:
-    for plant in PLANTS:
-        assert (PACKAGE / plant.file).read_text().count(plant.old) == 1, plant.name
+    for fault in PLANTED_FAULTS:
+        assert (PACKAGE / fault.file).read_text().count(fault.old) == 1, fault.name
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -16,13 +16,23 @@
 
 from barleywheel import config
 from barleywheel.router import Router
-from tests.netrig import BODY, PATIENCE, ROOT, SETTINGS, Hub, Journal, Sip, stands, world
+from tests.network_harness import (
+    DESCRIPTION,
+    ROOT,
+    SETTINGS,
+    WAIT_TIMEOUT_S,
+    Hub,
+    Journal,
+    SipMessage,
+    answer_call,
+    running_network,
+)
 
 REF = "9b1f03aa5c7e2d41"
 OTHER = "9b1f03aa5c7e2d42"
 
 
-def silent(_: Sip) -> None:
+def silent(_: SipMessage) -> None:
     """A hub that takes a set-up and says nothing."""
 
 
@@ -30,178 +40,182 @@
     return lambda message: message.answer(status, X_Note=note)
 
 
-def invite(hub: Hub, ref: str = REF) -> Sip:
-    return hub.heard.take(lambda m: (m.method, m.ref) == ("INVITE", ref))
+def invite(hub: Hub, ref: str = REF) -> SipMessage:
+    return hub.inbox.wait_and_pop(lambda m: (m.method, m.ref) == ("INVITE", ref))
 
 
-def other(hub: Hub, method: str, ref: str = REF) -> Sip:
-    return hub.heard.take(lambda m: (m.method, m.ref) == (method, ref))
+def other(hub: Hub, method: str, ref: str = REF) -> SipMessage:
+    return hub.inbox.wait_and_pop(lambda m: (m.method, m.ref) == (method, ref))
 
 
 def test_a_call_stands_and_its_release_comes_back(tmp_path: Path) -> None:
-    hub = Hub("h1", 1, stands)
-    with world(tmp_path, Hub("h0", 0), hub) as made:
-        caller = made.caller()
+    hub = Hub("h1", 1, answer_call)
+    with running_network(tmp_path, Hub("h0", 0), hub) as harness:
+        caller = harness.caller()
         caller.send("hb", "1", c=0)
-        assert caller.hear("hb_ok", "1")["c"] == 1
-        caller.new(REF)
-        answer = caller.hear("up", REF)
-        assert answer["d"].encode("utf-8", "surrogateescape") == BODY
+        assert caller.receive("hb_ok", "1")["c"] == 1
+        caller.send_new(REF)
+        answer = caller.receive("up", REF)
+        assert answer["d"].encode("utf-8", "surrogateescape") == DESCRIPTION
         sent = invite(hub)
-        assert sent.body == BODY and sent.first.startswith("INVITE sip:7f3a@net ")
+        assert sent.body == DESCRIPTION and sent.start_line.startswith("INVITE sip:7f3a@net ")
         assert sent.headers["Subject"] == "voice" and 0 < int(sent.headers["X-Patience"]) <= 1200
         other(hub, "ACK")
-        hub.bye(REF, 41)
-        assert caller.hear("down", REF)["c"] == 41
+        hub.send_bye(REF, 41)
+        assert caller.receive("down", REF)["c"] == 41
 
 
 def test_callers_who_stay_make_room_for_those_who_come(tmp_path: Path) -> None:
     """Half of 48 descriptors are for callers; many ask once and keep their connection for good."""
-    hub = Hub("h1", 1, stands)
-    with world(tmp_path, hub, sockets=48) as made:
-        working = made.caller()
+    hub = Hub("h1", 1, answer_call)
+    with running_network(tmp_path, hub, sockets=48) as harness:
+        working = harness.caller()
         stay = []
         for _ in range(30):
-            stay.append(made.caller())
+            stay.append(harness.caller())
             stay[-1].send("hb", "1", c=0)
-            stay[-1].hear("hb_ok", "1")
+            stay[-1].receive("hb_ok", "1")
             working.send("hb", "1", c=0)
-            working.hear("hb_ok", "1")
-        stay[-1].new(REF)
-        stay[-1].hear("up", REF)
-        working.new(OTHER)
-        working.hear("up", OTHER)
-        assert stay[0].closed.wait(PATIENCE) and not stay[-2].closed.is_set()
+            working.receive("hb_ok", "1")
+        stay[-1].send_new(REF)
+        stay[-1].receive("up", REF)
+        working.send_new(OTHER)
+        working.receive("up", OTHER)
+        assert stay[0].closed.wait(WAIT_TIMEOUT_S) and not stay[-2].closed.is_set()
 
 
 def test_connections_with_standing_calls_are_closed_last(tmp_path: Path) -> None:
     """Their callers are told on them; whoever else is connected may be no caller."""
-    hub = Hub("h1", 1, stands)
-    with world(tmp_path, hub, sockets=48) as made:
-        caller = made.caller()
-        caller.new(REF)
-        caller.hear("up", REF)
+    hub = Hub("h1", 1, answer_call)
+    with running_network(tmp_path, hub, sockets=48) as harness:
+        caller = harness.caller()
+        caller.send_new(REF)
+        caller.receive("up", REF)
         for _ in range(30):
-            stay = made.caller()
+            stay = harness.caller()
             stay.send("hb", "1", c=0)
-            stay.hear("hb_ok", "1")
-        made.wait_for(lambda: made.logged().count("make room") >= 6)
-        hub.bye(REF, 16)
-        assert caller.hear("down", REF)["c"] == 16
+            stay.receive("hb_ok", "1")
+        harness.wait_for(lambda: harness.log_text().count("make room") >= 6)
+        hub.send_bye(REF, 16)
+        assert caller.receive("down", REF)["c"] == 16
 
 
 def test_no_connection_with_unread_bytes_is_closed_to_make_room(tmp_path: Path) -> None:
     """What was just accepted may hold a set-up that its reader has had no turn for."""
-    hub = Hub("h1", 1, stands)
-    with world(tmp_path, hub, sockets=48) as made:
-        made.process.send_signal(signal.SIGSTOP)  # so that connections and set-ups come in one turn
-        callers = [made.caller() for _ in range(40)]
+    hub = Hub("h1", 1, answer_call)
+    with running_network(tmp_path, hub, sockets=48) as harness:
+        harness.process.send_signal(signal.SIGSTOP)  # so that connections and set-ups come in one turn
+        callers = [harness.caller() for _ in range(40)]
         for at, caller in enumerate(callers[:12]):
-            caller.new(f"{at:016x}")
-        made.process.send_signal(signal.SIGCONT)
+            caller.send_new(f"{at:016x}")
+        harness.process.send_signal(signal.SIGCONT)
         for at, caller in enumerate(callers[:12]):
-            assert caller.heard.take(lambda m: m["ref"] == f"{at:016x}")["t"] in ("up", "down")  # noqa: B023
-        assert "make room" in made.logged()
+            assert caller.inbox.wait_and_pop(lambda m: m["ref"] == f"{at:016x}")["t"] in ("up", "down")  # noqa: B023
+        assert "make room" in harness.log_text()
 
 
 def test_leaving_hangs_up_on_quiet_callers_and_answers_the_others(tmp_path: Path) -> None:
     """A set-up on a connection left open is taken as the process goes, and never answered."""
     hub = Hub("h1", 1, silent)
-    with world(tmp_path, hub) as made:
-        quiet, busy = made.caller(), made.caller()
+    with running_network(tmp_path, hub) as harness:
+        quiet, busy = harness.caller(), harness.caller()
         quiet.send("hb", "1", c=0)
-        quiet.hear("hb_ok", "1")
-        busy.new(REF)
+        quiet.receive("hb_ok", "1")
+        busy.send_new(REF)
         sent = invite(hub)
-        made.process.send_signal(signal.SIGTERM)
-        assert quiet.closed.wait(PATIENCE) and not busy.closed.is_set()
-        sent.answer(200, BODY)
-        assert busy.heard.take(lambda m: m["ref"] == REF)["t"] in ("up", "down")  # its aim may be over
-        assert busy.closed.wait(PATIENCE)
-        assert made.process.wait(PATIENCE) == 0
-        made.process.poll = lambda: None  # type: ignore[method-assign]
+        harness.process.send_signal(signal.SIGTERM)
+        assert quiet.closed.wait(WAIT_TIMEOUT_S) and not busy.closed.is_set()
+        sent.answer(200, DESCRIPTION)
+        # Its aim may be over.
+        assert busy.inbox.wait_and_pop(lambda m: m["ref"] == REF)["t"] in (
+            "up",
+            "down",
+        )
+        assert busy.closed.wait(WAIT_TIMEOUT_S)
+        assert harness.process.wait(WAIT_TIMEOUT_S) == 0
+        harness.process.poll = lambda: None  # type: ignore[method-assign]
 
 
 @pytest.mark.parametrize("start", [b"", b'{"t":"new","ref":"9b'])
 def test_a_connection_without_a_whole_message_is_closed(tmp_path: Path, start: bytes) -> None:
-    hub = Hub("h1", 1, stands)
-    with world(tmp_path, hub) as made:
-        silent_one, good = made.caller(), made.caller()
+    hub = Hub("h1", 1, answer_call)
+    with running_network(tmp_path, hub) as harness:
+        silent_one, good = harness.caller(), harness.caller()
         silent_one.sock.sendall(start)
-        good.new(REF)
-        good.hear("up", REF)
-        assert silent_one.closed.wait(PATIENCE) and not good.closed.is_set()
+        good.send_new(REF)
+        good.receive("up", REF)
+        assert silent_one.closed.wait(WAIT_TIMEOUT_S) and not good.closed.is_set()
 
 
 def test_a_second_copy_and_an_unknown_answer_harm_nothing(tmp_path: Path) -> None:
     hub = Hub("h1", 1, silent)
-    with world(tmp_path, hub) as made:
-        caller = made.caller()
-        caller.new(REF)
+    with running_network(tmp_path, hub) as harness:
+        caller = harness.caller()
+        caller.send_new(REF)
         sent = invite(hub)
         sent.headers["Call-ID"] = OTHER
         sent.answer(200, b"not ours")
         sent.headers["Call-ID"] = REF
-        sent.answer(200, BODY)
-        sent.answer(200, BODY)
-        assert caller.hear("up", REF)["d"].encode("utf-8", "surrogateescape") == BODY
+        sent.answer(200, DESCRIPTION)
+        sent.answer(200, DESCRIPTION)
+        assert caller.receive("up", REF)["d"].encode("utf-8", "surrogateescape") == DESCRIPTION
         for ref in (REF, REF, OTHER):
             other(hub, "ACK", ref)
-        hub.say(sent.sock, "OPTIONS sip:ping@net", "last")
+        hub.send_request(sent.sock, "OPTIONS sip:ping@net", "last")
         other(hub, "SIP/2.0", "last")  # so nothing more was said before it
-        assert not [m for m in hub.heard if m.method == "BYE"] and not caller.heard
+        assert not [m for m in hub.inbox if m.method == "BYE"] and not caller.inbox
 
 
 @pytest.mark.parametrize("length", ["9", "100", "3000000000", "-5", "x", ""])
 def test_an_answer_whose_length_does_not_fit_is_not_passed_on(tmp_path: Path, length: str) -> None:
     """Its connection is of no further use: what is open on it fails, and the next call takes a new one."""
     hub = Hub("h1", 1, silent)
-    with world(tmp_path, hub) as made:
-        caller = made.caller()
-        caller.new(REF, left="2000")
-        caller.new(OTHER, left="2000")
+    with running_network(tmp_path, hub) as harness:
+        caller = harness.caller()
+        caller.send_new(REF, left="2000")
+        caller.send_new(OTHER, left="2000")
         one, two = invite(hub), invite(hub, OTHER)
         head = f"SIP/2.0 200 X\r\nCall-ID: {REF}\r\nCSeq: 1 INVITE\r\nContent-Length: {length}\r\n\r\n"
         more = f"SIP/2.0 200 X\r\nCall-ID: {OTHER}\r\nCSeq: 1 INVITE\r\nContent-Length: 1\r\n\r\nz"
         assert one.sock is two.sock
-        one.sock.sendall(head.encode() + BODY + more.encode())
-        caller.hear("down", REF)
-        caller.hear("down", OTHER)
+        one.sock.sendall(head.encode() + DESCRIPTION + more.encode())
+        caller.receive("down", REF)
+        caller.receive("down", OTHER)
         third = REF[:-1] + "9"
-        caller.new(third)
+        caller.send_new(third)
         again = invite(hub, third)
         assert again.sock is not one.sock
-        again.answer(200, BODY)
-        caller.hear("up", third)
+        again.answer(200, DESCRIPTION)
+        caller.receive("up", third)
 
 
 @pytest.mark.parametrize("deaf", [True, False])
 def test_half_an_answer_costs_no_other_call_its_time(tmp_path: Path, deaf: bool) -> None:
     hub = Hub("h1", 1, silent)
-    hub.deaf = deaf
-    with world(tmp_path, hub) as made:
-        caller = made.caller()
-        caller.new(REF)
+    hub.ignores_options = deaf
+    with running_network(tmp_path, hub) as harness:
+        caller = harness.caller()
+        caller.send_new(REF)
         sent = invite(hub)
         sent.sock.sendall(b"SIP/2.0 200 OK\r\nCall-ID: 9b1f")
-        if not hub.deaf:
-            made.wait_for(lambda: "a message within a head" in made.logged())
-        made.wait_for(lambda: "hub connection lost" in made.logged())
-        caller.new(OTHER)
+        if not hub.ignores_options:
+            harness.wait_for(lambda: "a message within a head" in harness.log_text())
+        harness.wait_for(lambda: "hub connection lost" in harness.log_text())
+        caller.send_new(OTHER)
         again = invite(hub, OTHER)
         assert again.sock is not sent.sock
-        again.answer(200, BODY)
-        caller.hear("up", OTHER)
+        again.answer(200, DESCRIPTION)
+        caller.receive("up", OTHER)
 
 
 @pytest.mark.parametrize("same", [True, False])
 def test_a_callers_release_reaches_the_hub_from_any_connection(tmp_path: Path, same: bool) -> None:
-    hub = Hub("h1", 1, stands)
-    with world(tmp_path, hub) as made:
-        caller = made.caller()
-        caller.new(REF)
-        caller.hear("up", REF)
-        (caller if same else made.caller()).send("down", REF, c=31)
+    hub = Hub("h1", 1, answer_call)
+    with running_network(tmp_path, hub) as harness:
+        caller = harness.caller()
+        caller.send_new(REF)
+        caller.receive("up", REF)
+        (caller if same else harness.caller()).send("down", REF, c=31)
         assert other(hub, "BYE").headers["Reason"] == "Q.850;cause=31"
 
 
@@ -220,255 +234,256 @@
 def test_refusals_of_a_hub(
     tmp_path: Path, status: int, note: str, causes: tuple[int, ...], second: bool
 ) -> None:
-    direct, tandem = Hub("h1", 1, refuses(status, note)), Hub("h2", 2, stands)
-    with world(tmp_path, direct, tandem) as made:
-        caller = made.caller()
-        caller.new(REF)
+    direct, tandem = Hub("h1", 1, refuses(status, note)), Hub("h2", 2, answer_call)
+    with running_network(tmp_path, direct, tandem) as harness:
+        caller = harness.caller()
+        caller.send_new(REF)
         if second:
-            caller.hear("up", REF)
+            caller.receive("up", REF)
             # Guards the answer of a second attempt: a hub answers its first INVITE of a call as CSeq 1.
             assert invite(tandem).headers["CSeq"] == "1 INVITE"
         else:
-            assert caller.hear("down", REF)["c"] in causes
-            assert not tandem.heard
+            assert caller.receive("down", REF)["c"] in causes
+            assert not tandem.inbox
         other(direct, "ACK")
 
 
 def test_a_call_that_ends_in_error_is_sent_again_over_another_connection(tmp_path: Path) -> None:
     """Hubs answer every INVITE of a call as CSeq 1: on one connection two attempts can't be told apart."""
     hub = Hub("h1", 1, lambda m: None if m.ref == REF else m.answer(500))
-    with world(tmp_path, hub) as made:
-        caller = made.caller()
+    with running_network(tmp_path, hub) as harness:
+        caller = harness.caller()
         for at in range(4):  # a lone error is not worth the work
-            caller.new(f"{at:016x}")
-            assert caller.hear("down", f"{at:016x}")["c"] == 41
-        caller.new(REF)
+            caller.send_new(f"{at:016x}")
+            assert caller.receive("down", f"{at:016x}")["c"] == 41
+        caller.send_new(REF)
         first = invite(hub)
         first.answer(500)
         second = invite(hub)
         assert second.sock is not first.sock and second.headers["CSeq"] == "1 INVITE"
         first.answer(500)  # a second copy is not the answer of the second attempt
-        second.answer(200, BODY)
-        caller.hear("up", REF)
+        second.answer(200, DESCRIPTION)
+        caller.receive("up", REF)
 
 
 def test_a_silent_connection_is_tested_and_replaced(tmp_path: Path) -> None:
     hub = Hub("h1", 1, silent)
-    hub.deaf = True
-    with world(tmp_path, hub) as made:
-        caller = made.caller()
-        caller.new(REF)
+    hub.ignores_options = True
+    with running_network(tmp_path, hub) as harness:
+        caller = harness.caller()
+        caller.send_new(REF)
         sent = invite(hub)
-        hub.heard.take(lambda m: m.method == "OPTIONS")
-        assert caller.hear("down", REF)["c"] == 41  # well before its time is up
-        assert "closed, silent" in made.logged() and "end=timeout" not in made.logged()
-        caller.new(OTHER)
+        hub.inbox.wait_and_pop(lambda m: m.method == "OPTIONS")
+        assert caller.receive("down", REF)["c"] == 41  # well before its time is up
+        assert "closed, silent" in harness.log_text() and "end=timeout" not in harness.log_text()
+        caller.send_new(OTHER)
         again = invite(hub, OTHER)
         assert again.sock is not sent.sock
 
 
 def test_calls_of_a_gone_hub_are_released_though_another_has_its_address(tmp_path: Path) -> None:
     """The connection of the old one is lost, and what comes up in its place is the new hub's."""
-    old = Hub("h1", 1, stands)
-    with world(tmp_path, old) as made:
-        caller = made.caller()
-        caller.new(REF)
-        caller.hear("up", REF)
+    old = Hub("h1", 1, answer_call)
+    with running_network(tmp_path, old) as harness:
+        caller = harness.caller()
+        caller.send_new(REF)
+        caller.receive("up", REF)
         old.conns.pop().shutdown(2)
-        made.wait_for(lambda: old.conns)
-        made.journal.tell(old, status="Gone")
-        assert caller.hear("down", REF, patience=5.0)["c"] == 41
+        harness.wait_for(lambda: old.conns)
+        harness.journal.publish(old, status="Gone")
+        assert caller.receive("down", REF, timeout_s=5.0)["c"] == 41
 
 
 def test_a_release_of_a_call_that_failed_is_no_second_answer(tmp_path: Path) -> None:
     hub = Hub("h1", 1, silent)
-    with world(tmp_path, hub) as made:
-        caller = made.caller()
-        caller.new(REF, left="600")
+    with running_network(tmp_path, hub) as harness:
+        caller = harness.caller()
+        caller.send_new(REF, left="600")
         invite(hub)
-        assert caller.hear("down", REF)["c"] == 41
-        hub.bye(REF, 16)
-        hub.heard.take(lambda m: (m.method, m.ref) == ("SIP/2.0", REF))
+        assert caller.receive("down", REF)["c"] == 41
+        hub.send_bye(REF, 16)
+        hub.inbox.wait_and_pop(lambda m: (m.method, m.ref) == ("SIP/2.0", REF))
         caller.send("hb", "1", c=0)
-        caller.hear("hb_ok", "1")
-        assert not caller.heard
+        caller.receive("hb_ok", "1")
+        assert not caller.inbox
 
 
 def test_a_timed_out_attempt_is_cancelled_and_its_late_answer_undone(tmp_path: Path) -> None:
     hub = Hub("h1", 1, silent)
-    with world(tmp_path, hub) as made:
-        caller = made.caller()
-        caller.new(REF, left="900")
+    with running_network(tmp_path, hub) as harness:
+        caller = harness.caller()
+        caller.send_new(REF, left="900")
         sent = invite(hub)
         cancel = other(hub, "CANCEL")
         assert cancel.headers["CSeq"] == "1 CANCEL"
-        assert caller.hear("down", REF)["c"] == 41
-        sent.answer(200, BODY)
+        assert caller.receive("down", REF)["c"] == 41
+        sent.answer(200, DESCRIPTION)
         other(hub, "ACK")
         other(hub, "BYE")
-        assert not caller.heard  # one final answer
+        assert not caller.inbox  # one final answer
 
 
 def test_one_attempt_at_a_time_and_a_late_answer_is_not_the_present_ones(tmp_path: Path) -> None:
     first, second = Hub("h1", 1, refuses(503, "congestion")), Hub("h2", 2, silent)
-    with world(tmp_path, first, second) as made:
-        caller = made.caller()
-        caller.new(REF)
+    with running_network(tmp_path, first, second) as harness:
+        caller = harness.caller()
+        caller.send_new(REF)
         early, sent = invite(first), invite(second)
         assert early.at <= sent.at
         early.answer(200, b"late")  # of the attempt that has ended
         other(first, "BYE")
-        assert not caller.heard
-        sent.answer(200, BODY)
-        assert caller.hear("up", REF)["d"].encode("utf-8", "surrogateescape") == BODY
+        assert not caller.inbox
+        sent.answer(200, DESCRIPTION)
+        assert caller.receive("up", REF)["d"].encode("utf-8", "surrogateescape") == DESCRIPTION
 
 
 def test_a_caller_that_gives_up_gets_no_answer(tmp_path: Path) -> None:
     hub = Hub("h1", 1, silent)
-    with world(tmp_path, hub) as made:
-        caller = made.caller()
-        caller.new(REF)
+    with running_network(tmp_path, hub) as harness:
+        caller = harness.caller()
+        caller.send_new(REF)
         sent = invite(hub)
         caller.send("down", REF, c=16)
         other(hub, "CANCEL")
-        sent.answer(200, BODY)
+        sent.answer(200, DESCRIPTION)
         other(hub, "BYE")
         caller.send("hb", "1", c=0)
-        caller.hear("hb_ok", "1")
-        assert not caller.heard
+        caller.receive("hb_ok", "1")
+        assert not caller.inbox
 
 
 @pytest.mark.parametrize("status", ["Terminating", "Gone"])
 def test_nothing_new_to_a_hub_that_drains_or_is_gone(tmp_path: Path, status: str) -> None:
-    hub = Hub("h1", 1, stands)
-    with world(tmp_path, hub) as made:
-        made.journal.tell(hub, status=status)
-        made.wait_for(lambda: f"state={status}" in made.logged())
-        caller = made.caller()
-        caller.new(REF)
-        assert caller.hear("down", REF)["c"] == 42
-        assert not [m for m in hub.heard if m.method == "INVITE"]
+    hub = Hub("h1", 1, answer_call)
+    with running_network(tmp_path, hub) as harness:
+        harness.journal.publish(hub, status=status)
+        harness.wait_for(lambda: f"state={status}" in harness.log_text())
+        caller = harness.caller()
+        caller.send_new(REF)
+        assert caller.receive("down", REF)["c"] == 42
+        assert not [m for m in hub.inbox if m.method == "INVITE"]
 
 
 def test_a_stalled_poll_is_opened_anew_and_an_address_used_again(tmp_path: Path) -> None:
     old = Hub("h1", 1, silent)
-    with world(tmp_path, old) as made:
-        made.journal.stall = True
-        polls = len(made.journal.polls)
-        made.wait_for(lambda: len(made.journal.polls) >= polls + 2)
-        made.journal.stall = False
+    with running_network(tmp_path, old) as harness:
+        harness.journal.stall = True
+        polls = len(harness.journal.polls)
+        harness.wait_for(lambda: len(harness.journal.polls) >= polls + 2)
+        harness.journal.stall = False
         port = old.port
         old.kill()
-        new = Hub("h1b", 1, stands)
+        new = Hub("h1b", 1, answer_call)
         new.listener.close()
         new.listen(port)
-        made.journal.tell(old, status="Gone")
-        made.journal.tell(new, since=int(time.time() * 1000) - 60_000)
-        made.wait_for(lambda: new.conns)
-        caller = made.caller()
-        caller.new(REF)
-        caller.hear("up", REF)
+        harness.journal.publish(old, status="Gone")
+        harness.journal.publish(new, since=int(time.time() * 1000) - 60_000)
+        harness.wait_for(lambda: new.conns)
+        caller = harness.caller()
+        caller.send_new(REF)
+        caller.receive("up", REF)
 
 
 def test_refused_connect_never_ran_and_the_call_is_refused(tmp_path: Path) -> None:
     hub = Hub("h1", 1)
-    with world(tmp_path, hub) as made:
+    with running_network(tmp_path, hub) as harness:
         hub.kill()
-        made.wait_for(lambda: "hub not reached" in made.logged())
-        caller = made.caller()
-        caller.new(REF)
-        assert caller.hear("down", REF)["c"] == 42
+        harness.wait_for(lambda: "hub not reached" in harness.log_text())
+        caller = harness.caller()
+        caller.send_new(REF)
+        assert caller.receive("down", REF)["c"] == 42
 
 
 def test_lost_connection_gives_up_set_ups_and_standing_calls_live_on(tmp_path: Path) -> None:
-    hub = Hub("h1", 1, lambda m: stands(m) if m.ref == REF else None)
-    with world(tmp_path, hub) as made:
-        caller = made.caller()
-        caller.new(REF)
-        caller.hear("up", REF)
-        caller.new(OTHER)
+    hub = Hub("h1", 1, lambda m: answer_call(m) if m.ref == REF else None)
+    with running_network(tmp_path, hub) as harness:
+        caller = harness.caller()
+        caller.send_new(REF)
+        caller.receive("up", REF)
+        caller.send_new(OTHER)
         invite(hub, OTHER)
         hub.conns.pop().shutdown(2)
-        assert caller.hear("down", OTHER)["c"] == 41
-        made.wait_for(lambda: hub.conns)  # reached again: its calls may well stand
-        assert not caller.heard
-        hub.bye(REF, 16)
-        assert caller.hear("down", REF)["c"] == 16
+        assert caller.receive("down", OTHER)["c"] == 41
+        harness.wait_for(lambda: hub.conns)  # reached again: its calls may well stand
+        assert not caller.inbox
+        hub.send_bye(REF, 16)
+        assert caller.receive("down", REF)["c"] == 16
 
 
 def test_calls_of_a_dead_process_are_released(tmp_path: Path) -> None:
-    hub = Hub("h1", 1, stands)
-    with world(tmp_path, hub) as made:
-        caller = made.caller()
-        caller.new(REF)
-        caller.hear("up", REF)
+    hub = Hub("h1", 1, answer_call)
+    with running_network(tmp_path, hub) as harness:
+        caller = harness.caller()
+        caller.send_new(REF)
+        caller.receive("up", REF)
         hub.kill()
-        assert caller.hear("down", REF)["c"] == 41
+        assert caller.receive("down", REF)["c"] == 41
 
 
 def test_calls_of_a_vanished_hub_are_released(tmp_path: Path) -> None:
     """Their ends are never told, and their callers must hear within 8 s of them."""
-    hub, well = Hub("h1", 1, stands), Hub("h2", 2, stands)
-    with world(tmp_path, hub, well) as made:
-        caller = made.caller()
-        caller.new(REF)
-        caller.new(OTHER, to=2)
-        caller.hear("up", REF)
-        caller.hear("up", OTHER)
+    hub, well = Hub("h1", 1, answer_call), Hub("h2", 2, answer_call)
+    with running_network(tmp_path, hub, well) as harness:
+        caller = harness.caller()
+        caller.send_new(REF)
+        caller.send_new(OTHER, to=2)
+        caller.receive("up", REF)
+        caller.receive("up", OTHER)
         hub.vanish()
-        assert caller.hear("down", REF)["c"] == 41
-        assert "silent hub" in made.logged()
-        assert not caller.heard  # the other hub is silent too, but reached: its calls stand
+        assert caller.receive("down", REF)["c"] == 41
+        assert "silent hub" in harness.log_text()
+        assert not caller.inbox  # the other hub is silent too, but reached: its calls stand
 
 
 def test_calls_through_a_draining_hub_live_on_while_it_refuses_connections(tmp_path: Path) -> None:
-    hub = Hub("h1", 1, stands)
-    with world(tmp_path, hub) as made:
-        caller = made.caller()
-        caller.new(REF)
-        caller.hear("up", REF)
+    hub = Hub("h1", 1, answer_call)
+    with running_network(tmp_path, hub) as harness:
+        caller = harness.caller()
+        caller.send_new(REF)
+        caller.receive("up", REF)
         hub.listener.shutdown(socket.SHUT_RDWR)
         hub.listener.close()
-        made.wait_for(lambda: made.logged().count("hub not reached") >= 3)  # silent, and looked for every 3 s
-        assert not caller.heard and "silent hub" not in made.logged()
-        hub.bye(REF, 41)
-        assert caller.hear("down", REF)["c"] == 41
+        # Silent, and looked for every 3 s.
+        harness.wait_for(lambda: harness.log_text().count("hub not reached") >= 3)
+        assert not caller.inbox and "silent hub" not in harness.log_text()
+        hub.send_bye(REF, 41)
+        assert caller.receive("down", REF)["c"] == 41
 
 
 def test_release_after_a_restart_waits_for_a_connection(tmp_path: Path) -> None:
-    hub = Hub("h1", 1, stands)
-    with world(tmp_path, hub) as made:
-        caller = made.caller()
-        caller.new(REF)
-        caller.hear("up", REF)
-        made.process.kill()
-        made.process.wait()
+    hub = Hub("h1", 1, answer_call)
+    with running_network(tmp_path, hub) as harness:
+        caller = harness.caller()
+        caller.send_new(REF)
+        caller.receive("up", REF)
+        harness.process.kill()
+        harness.process.wait()
         hub.conns.clear()
         (tmp_path / "log").write_text("")
-        made.start()
-        hub.bye(REF, 16)
+        harness.start()
+        hub.send_bye(REF, 16)
         other(hub, "SIP/2.0")  # heard; nobody is there to be told yet
-        stranger, caller = made.caller(), made.caller()
+        stranger, caller = harness.caller(), harness.caller()
         caller.send("hb", "1", c=0)
-        assert caller.hear("down", REF)["c"] == 16
-        assert not stranger.heard  # it has said nothing, so it may be no caller
+        assert caller.receive("down", REF)["c"] == 16
+        assert not stranger.inbox  # it has said nothing, so it may be no caller
 
 
 def test_a_release_goes_to_a_caller_and_not_to_whoever_has_connected(tmp_path: Path) -> None:
-    hub = Hub("h1", 1, stands)
-    with world(tmp_path, hub) as made:
-        first, working = made.caller(), made.caller()
-        working.new(OTHER)
-        working.hear("up", OTHER)
-        first.new(REF)
-        first.hear("up", REF)
+    hub = Hub("h1", 1, answer_call)
+    with running_network(tmp_path, hub) as harness:
+        first, working = harness.caller(), harness.caller()
+        working.send_new(OTHER)
+        working.receive("up", OTHER)
+        first.send_new(REF)
+        first.receive("up", REF)
         first.sock.shutdown(socket.SHUT_RDWR)
-        strangers = [made.caller() for _ in range(5)]
+        strangers = [harness.caller() for _ in range(5)]
         for stranger in strangers:
             stranger.send("down", REF[:-1] + "0", c=16)
-            stranger.hear("ack", REF[:-1] + "0")
-        hub.bye(REF, 16)
-        assert working.hear("down", REF)["c"] == 16
+            stranger.receive("ack", REF[:-1] + "0")
+        hub.send_bye(REF, 16)
+        assert working.receive("down", REF)["c"] == 16
 
 
 @pytest.mark.parametrize(
@@ -486,14 +501,14 @@
     ],
 )
 def test_malformed_input_closes_that_connection_only(tmp_path: Path, line: bytes) -> None:
-    hub = Hub("h1", 1, stands)
-    with world(tmp_path, hub) as made:
-        good, bad = made.caller(), made.caller()
+    hub = Hub("h1", 1, answer_call)
+    with running_network(tmp_path, hub) as harness:
+        good, bad = harness.caller(), harness.caller()
         bad.sock.sendall(line)
-        assert bad.closed.wait(PATIENCE)
-        assert "malformed input" in made.logged()
-        good.new(REF)
-        good.hear("up", REF)
+        assert bad.closed.wait(WAIT_TIMEOUT_S)
+        assert "malformed input" in harness.log_text()
+        good.send_new(REF)
+        good.receive("up", REF)
 
 
 @pytest.mark.parametrize(
@@ -516,24 +531,24 @@
     ],
 )
 def test_calls_that_nobody_could_serve_fail_at_once(tmp_path: Path, fields: dict[str, Any]) -> None:
-    hub = Hub("h1", 1, stands)
-    with world(tmp_path, hub) as made:
-        caller = made.caller()
-        caller.new(REF, body=fields.pop("body", "").encode(), **fields)
-        assert caller.hear("down", REF)["c"] == 95
-        assert not [m for m in hub.heard if m.method == "INVITE"]
+    hub = Hub("h1", 1, answer_call)
+    with running_network(tmp_path, hub) as harness:
+        caller = harness.caller()
+        caller.send_new(REF, body=fields.pop("body", "").encode(), **fields)
+        assert caller.receive("down", REF)["c"] == 95
+        assert not [m for m in hub.inbox if m.method == "INVITE"]
 
 
 def test_a_duplicate_id_fails_at_once(tmp_path: Path) -> None:
     hub = Hub("h1", 1, silent)
-    with world(tmp_path, hub) as made:
-        caller = made.caller()
-        caller.new(REF)
+    with running_network(tmp_path, hub) as harness:
+        caller = harness.caller()
+        caller.send_new(REF)
         sent = invite(hub)
-        caller.new(REF)
-        assert caller.hear("down", REF)["c"] == 95
+        caller.send_new(REF)
+        assert caller.receive("down", REF)["c"] == 95
         sent.answer(200)
-        caller.hear("up", REF)
+        caller.receive("up", REF)
 
 
 @pytest.mark.parametrize(
@@ -546,61 +561,62 @@
     ],
 )
 def test_a_hubs_garbage_closes_that_connection_only(tmp_path: Path, garbage: bytes) -> None:
-    hub = Hub("h1", 1, stands)
-    with world(tmp_path, hub) as made:
+    hub = Hub("h1", 1, answer_call)
+    with running_network(tmp_path, hub) as harness:
         hub.conns.pop().sendall(garbage)
-        made.wait_for(lambda: hub.conns)  # opened again
-        caller = made.caller()
-        caller.new(REF)
-        caller.hear("up", REF)
+        harness.wait_for(lambda: hub.conns)  # opened again
+        caller = harness.caller()
+        caller.send_new(REF)
+        caller.receive("up", REF)
 
 
 def test_a_caller_that_does_not_read_blocks_nobody(tmp_path: Path) -> None:
     hub = Hub("h1", 1, lambda m: m.answer(200, b"y" * 14000))
-    with world(tmp_path, hub) as made:
-        slow, quick = made.caller(), made.caller()
+    with running_network(tmp_path, hub) as harness:
+        slow, quick = harness.caller(), harness.caller()
         slow.sock.setsockopt(6, 10, 1)  # no more is read than the kernel holds
         for at in range(60):
-            slow.new(f"{at:016x}", body=b"")
-        quick.new(REF)
-        quick.heard.take(lambda m: m["ref"] == REF)  # served, or refused in the burst; answered, at any rate
+            slow.send_new(f"{at:016x}", body=b"")
+        quick.send_new(REF)
+        # Served, or refused in the burst; answered, at any rate.
+        quick.inbox.wait_and_pop(lambda m: m["ref"] == REF)
 
 
 def test_sigterm_finishes_what_is_taken(tmp_path: Path) -> None:
     hub = Hub("h1", 1, silent)
-    with world(tmp_path, hub) as made:
-        caller = made.caller()
-        caller.new(REF)
+    with running_network(tmp_path, hub) as harness:
+        caller = harness.caller()
+        caller.send_new(REF)
         sent = invite(hub)
-        made.process.send_signal(signal.SIGTERM)
-        late = made.caller()  # connections keep coming for a while
-        late.new(OTHER)
+        harness.process.send_signal(signal.SIGTERM)
+        late = harness.caller()  # connections keep coming for a while
+        late.send_new(OTHER)
         invite(hub, OTHER).answer(200, b"b")
-        late.hear("up", OTHER)
+        late.receive("up", OTHER)
         sent.answer(200, b"a")
-        caller.hear("up", REF)
-        assert made.process.wait(PATIENCE) == 0
-        made.process.poll = lambda: None  # type: ignore[method-assign]
+        caller.receive("up", REF)
+        assert harness.process.wait(WAIT_TIMEOUT_S) == 0
+        harness.process.poll = lambda: None  # type: ignore[method-assign]
 
 
 def test_sighup_follows_the_journal_to_its_new_address(tmp_path: Path) -> None:
-    hub = Hub("h1", 1, stands)
-    with world(tmp_path, Hub("h0", 0), hub) as made:
-        old, made.journal = made.journal, Journal()
-        made.journal.entries = list(old.entries)
+    hub = Hub("h1", 1, answer_call)
+    with running_network(tmp_path, Hub("h0", 0), hub) as harness:
+        old, harness.journal = harness.journal, Journal()
+        harness.journal.entries = list(old.entries)
         old.stall = True  # it holds the poll and tells nothing more
         file = tmp_path / "config.json"
-        file.write_text(made.config())
-        made.process.send_signal(signal.SIGHUP)
-        assert made.journal.polls.take(lambda _: True) == 1  # goes on from the next number
-        new = Hub("h2", 2, stands)
-        made.journal.tell(new)
-        made.wait_for(lambda: new.conns)
+        file.write_text(harness.config())
+        harness.process.send_signal(signal.SIGHUP)
+        assert harness.journal.polls.wait_and_pop(lambda _: True) == 1  # goes on from the next number
+        new = Hub("h2", 2, answer_call)
+        harness.journal.publish(new)
+        harness.wait_for(lambda: new.conns)
         file.write_text("{")
-        made.process.send_signal(signal.SIGHUP)
-        made.wait_for(lambda: "configuration not reloaded" in made.logged())
-        made.journal.tell(hub, status="Terminating")  # the old settings stay
-        made.wait_for(lambda: "hub=h1 group=1 state=Terminating" in made.logged())
+        harness.process.send_signal(signal.SIGHUP)
+        harness.wait_for(lambda: "configuration not reloaded" in harness.log_text())
+        harness.journal.publish(hub, status="Terminating")  # the old settings stay
+        harness.wait_for(lambda: "hub=h1 group=1 state=Terminating" in harness.log_text())
 
 
 @pytest.mark.parametrize(("longest_us", "leave_s"), [(1_000_000, 1.4), (9_000_000, 3.4)])
@@ -636,7 +652,7 @@
 def test_retry_advice_travels_in_the_answer(tmp_path: Path) -> None:
     hub = Hub("h1", 1, refuses(503, "throttled"))
     limits = {"cancel": True, "retry_after": True, "max_retry_after_us": 2000000}
-    with world(tmp_path, hub, limits=limits) as made:
-        caller = made.caller()
-        caller.new(REF)
-        assert int(caller.hear("down", REF)["f"]["wait"]) > 0
+    with running_network(tmp_path, hub, limits=limits) as harness:
+        caller = harness.caller()
+        caller.send_new(REF)
+        assert int(caller.receive("down", REF)["f"]["wait"]) > 0
--- a/tests/test_snmp.py
+++ b/tests/test_snmp.py
@@ -24,8 +24,8 @@
 )
 from pysnmp.proto.rfc1902 import Integer32
 
-from tests.netrig import ROOT as ROOT_DIR
-from tests.netrig import Hub, Sip, stands, world
+from tests.network_harness import ROOT as ROOT_DIR
+from tests.network_harness import Hub, SipMessage, answer_call, running_network
 
 ROOT = "1.3.6.1.4.1.8072.9999.9999.3868"
 M3UA = """
@@ -71,21 +71,21 @@
 
 
 def test_the_agent_tells_calls_outcomes_hubs_and_links(tmp_path: Path, ports: tuple[int, int]) -> None:
-    def answers(message: Sip) -> None:
+    def answers(message: SipMessage) -> None:
         if message.ref.endswith("1"):
-            stands(message)
+            answer_call(message)
         else:
             message.answer(503, X_Note="throttled")
 
     conf = tmp_path / "extras.toml"
     conf.write_text(f'[snmp]\nlisten = "127.0.0.1:{ports[1]}"\ncommunity = "lakes"\n' + M3UA % ports[0])
     hub = Hub("h1", 1, answers)
-    with world(tmp_path, Hub("h0", 0), hub, args=(str(conf),)) as made:
-        caller, client = made.caller(), Client(ports[1])
-        caller.new("0" * 15 + "1")
-        caller.hear("up", "0" * 15 + "1")
-        caller.new("0" * 15 + "2")
-        caller.hear("down", "0" * 15 + "2")
+    with running_network(tmp_path, Hub("h0", 0), hub, args=(str(conf),)) as harness:
+        caller, client = harness.caller(), Client(ports[1])
+        caller.send_new("0" * 15 + "1")
+        caller.receive("up", "0" * 15 + "1")
+        caller.send_new("0" * 15 + "2")
+        caller.receive("down", "0" * 15 + "2")
 
         scalars = {1: "2", 2: "1", 3: "0", 4: "0", 5: "1", 6: "2"}
         status, found = client.ask(get_cmd, *(f"{ROOT}.1.{column}.0" for column in scalars))
@@ -107,8 +107,8 @@
         assert walked[f"{ROOT}.4.1.3.{hubs['h1']}"] == "1" and walked[f"{ROOT}.4.1.5.{hubs['h1']}"] == "1"
         assert [walked[f"{ROOT}.5.1.{column}.200"] for column in (2, 3, 4)] == ["1", "8", "0"]
 
-        made.journal.tell(hub, status="Terminating")
-        made.wait_for(lambda: "Terminating" in made.logged())
+        harness.journal.publish(hub, status="Terminating")
+        harness.wait_for(lambda: "Terminating" in harness.log_text())
         assert client.ask(get_cmd, f"{ROOT}.4.1.4.{hubs['h1']}")[1][0][1] == "2"
 
         ((_, value),) = client.ask(get_cmd, f"{ROOT}.1.99.0")[1]
