--- a/barleywheel/cli/fuzz.py
+++ b/barleywheel/cli/fuzz.py
@@ -65,7 +65,7 @@
     inputs: int = 0
     seconds: float = 0.0
     reached: int = 0
-    until: float = 0.0
+    deadline: float = 0.0
     entries: list[dict[str, Any]] = field(default_factory=list)
 
     def start(self, seconds: float, inputs: int, folder: Path, work: Path) -> None:
@@ -87,7 +87,7 @@
             text=True,
             env=os.environ | {"PYTHONHASHSEED": "0"},
         )
-        self.until = time.monotonic() + seconds + GRACE_S if seconds else float("inf")
+        self.deadline = time.monotonic() + seconds + GRACE_S if seconds else float("inf")
 
 
 @app.command()
@@ -185,7 +185,7 @@
                             running.remove(key.data)
                             self._on_exit(key.data)
                     for job in running:
-                        if time.monotonic() > job.until and job.process is not None:
+                        if time.monotonic() > job.deadline and job.process is not None:
                             job.process.kill()
                             self._record_finding(
                                 job, "hangs", "an input kept a worker busy beyond its time", {}
--- a/barleywheel/fuzz/corpus.py
+++ b/barleywheel/fuzz/corpus.py
@@ -25,9 +25,9 @@
     note: str = ""
 
 
-def to_json(found: Input) -> dict[str, Any]:
+def to_json(fuzz_input: Input) -> dict[str, Any]:
     """An input as JSON."""
-    return {"hex": found.hex()} if isinstance(found, bytes) else {"steps": found}
+    return {"hex": fuzz_input.hex()} if isinstance(fuzz_input, bytes) else {"steps": fuzz_input}
 
 
 def from_json(raw: dict[str, Any]) -> Input:
@@ -57,15 +57,15 @@
         if path.stat().st_size > MAX_FILE_BYTES:
             raise CorpusError(f"{path}: over {MAX_FILE_BYTES} bytes")
         text = path.read_text()
-        found = [json.loads(line) for line in text.splitlines() if line.strip()]
+        objects = [json.loads(line) for line in text.splitlines() if line.strip()]
     except (OSError, ValueError) as error:
         raise CorpusError(f"{path}: {error}") from error
-    for raw in found:
+    for raw in objects:
         if not isinstance(raw, dict):
             raise CorpusError(f"{path}: a line is no object")
         if raw.get("version") != VERSION:
             raise CorpusError(f"{path}: version {raw.get('version')!r}, {VERSION} is read here")
-    return found
+    return objects
 
 
 def save(path: Path, entries: list[CorpusEntry]) -> None:
@@ -81,11 +81,11 @@
     path.write_text("".join(line + "\n" for line in lines))
 
 
-def save_finding(path: Path, target: str, rule: str, seen: str, found: Input) -> None:
+def save_finding(path: Path, target: str, rule: str, seen: str, fuzz_input: Input) -> None:
     """Write a finding's file."""
     path.parent.mkdir(parents=True, exist_ok=True)
     path.write_text(
-        json.dumps({"version": VERSION, "target": target, "rule": rule, "seen": seen, **to_json(found)})
+        json.dumps({"version": VERSION, "target": target, "rule": rule, "seen": seen, **to_json(fuzz_input)})
         + "\n"
     )
 
@@ -100,8 +100,8 @@
     return lines[0]["target"], str(lines[0].get("rule", "")), from_json(lines[0])
 
 
-def format_input(found: Input) -> str:
+def format_input(fuzz_input: Input) -> str:
     """An input as a person reads it."""
-    if isinstance(found, bytes):
-        return f"{len(found)} bytes: {found[:200]!r}"
-    return "\n".join(f"{at + 1:3}. {' '.join(map(str, step))}" for at, step in enumerate(found))
+    if isinstance(fuzz_input, bytes):
+        return f"{len(fuzz_input)} bytes: {fuzz_input[:200]!r}"
+    return "\n".join(f"{at + 1:3}. {' '.join(map(str, step))}" for at, step in enumerate(fuzz_input))
--- a/barleywheel/fuzz/engine.py
+++ b/barleywheel/fuzz/engine.py
@@ -118,20 +118,20 @@
         return bytes(data[:MAX_INPUT_BYTES])
 
     def run_one(self) -> Violation | None:
-        """Run one input; the first breach of a rule that was not yet found broken, shrunk and noted."""
-        found = self.next_input()
+        """Run one input; the first violation of a rule that was not yet found broken, shrunk and noted."""
+        fuzz_input = self.next_input()
         quick_check = self.target.quick_check if self.progress.inputs % FULL_CHECK_INTERVAL else None
-        violations, reached = quick_check(found) if quick_check else self.target.check(found)
+        violations, reached = quick_check(fuzz_input) if quick_check else self.target.check(fuzz_input)
         self.progress.inputs += 1
         new = [name for name in features(reached) if name not in self.progress.features]
         for name in new:
             self.progress.features[name] = 1
         if new and not violations:
-            self.pool.append(found)
-            self.progress.entries.append(CorpusEntry(found, new[0]))
+            self.pool.append(fuzz_input)
+            self.progress.entries.append(CorpusEntry(fuzz_input, new[0]))
         for violation in violations[:1]:
             if violation.rule not in self.progress.findings:
-                self.progress.findings[violation.rule] = shrink_finding(self.target, found, violation)
+                self.progress.findings[violation.rule] = shrink_finding(self.target, fuzz_input, violation)
                 return violation
         return None
 
@@ -153,16 +153,16 @@
 def violates(target: Target, rule: str) -> Callable[[Input], bool]:
     """Whether an input breaks that rule first."""
 
-    def fails(found: Input) -> bool:
-        violations, _ = target.check(found)
+    def fails(fuzz_input: Input) -> bool:
+        violations, _ = target.check(fuzz_input)
         return bool(violations) and violations[0].rule == rule
 
     return fails
 
 
-def shrink_finding(target: Target, found: Input, violation: Violation, seconds: float = 20.0) -> Finding:
+def shrink_finding(target: Target, fuzz_input: Input, violation: Violation, seconds: float = 20.0) -> Finding:
     """A finding, its input made small."""
-    small = shrink(found, violates(target, violation.rule), seconds)
+    small = shrink(fuzz_input, violates(target, violation.rule), seconds)
     violations, _ = target.check(small)
     seen = violations[0].seen if violations else violation.seen
     return Finding(target.name, violation.rule, seen, small)
@@ -187,7 +187,7 @@
     from hypothesis import strategies
 
     assert target.make is not None
-    make, until, count, last = target.make, time.monotonic() + seconds, 0, {}
+    make, until, count, findings = target.make, time.monotonic() + seconds, 0, {}
 
     class TimeLimitReached(BaseException):
         """The time is over."""
@@ -196,11 +196,13 @@
         nonlocal count
         if time.monotonic() > until:
             raise TimeLimitReached
-        found = make(HypothesisSource(data, strategies.integers))
-        violations, _ = target.check(found)
+        fuzz_input = make(HypothesisSource(data, strategies.integers))
+        violations, _ = target.check(fuzz_input)
         count += 1
         if violations:
-            last[violations[0].rule] = Finding(target.name, violations[0].rule, violations[0].seen, found)
+            findings[violations[0].rule] = Finding(
+                target.name, violations[0].rule, violations[0].seen, fuzz_input
+            )
             raise AssertionError(violations[0].rule)
 
     test = hypothesis.seed(seed)(
@@ -217,4 +219,4 @@
     except (TimeLimitReached, AssertionError):
         pass
     yield count
-    yield from last.values()
+    yield from findings.values()
--- a/barleywheel/fuzz/module.py
+++ b/barleywheel/fuzz/module.py
@@ -122,7 +122,7 @@
         return b"x%d.%d" % (cell, other)
 
     def add_violation(self, rule: str, seen: str) -> None:
-        """Note a breach."""
+        """Note a violation."""
         self.violations.append(Violation(rule, f"at {(self.now - START_US) / 1e6:.6f} s: {seen}"))
 
     def handle_event(self, event: api.Event) -> None:
--- a/barleywheel/fuzz/plants.py
+++ b/barleywheel/fuzz/plants.py
@@ -242,11 +242,11 @@
     target, seconds, seed = TARGETS[sys.argv[1]], float(sys.argv[2]), int(sys.argv[3])
     session, start, count = FuzzSession(target, seed, []), time.monotonic(), 0
     while time.monotonic() - start < seconds:
-        found = session.next_input()
+        fuzz_input = session.next_input()
         violations, _ = (
-            target.quick_check(found)
+            target.quick_check(fuzz_input)
             if target.quick_check and count % FULL_CHECK_INTERVAL
-            else target.check(found)
+            else target.check(fuzz_input)
         )
         count += 1
         if violations:
--- a/barleywheel/fuzz/rules.py
+++ b/barleywheel/fuzz/rules.py
@@ -1,7 +1,7 @@
 """The rules of service, checked from outside: by what crosses the router's sockets and when.
 
 Time is virtual and a model hears bytes in the instant in which they are written, so "before" and "after"
-are exact; where two things happen in one instant, either order is allowed. A breach is a rule's name and
+are exact; where two things happen in one instant, either order is allowed. A violation is a rule's name and
 what was seen.
 """
 
@@ -33,7 +33,7 @@
 class Attempt:
     """One attempt, as hubs see it."""
 
-    where: str
+    hub_name: str
     at_us: int
     end_us: int | None = None
     guarded: bool = False  # it ended by a time-out, a reset or a cancel
@@ -48,7 +48,7 @@
     caller: Caller | None
     at_us: int
     due_us: int
-    to: int
+    destination: int
     description: bytes
     number: str = "7f3a"
     transit: bool = False
@@ -70,14 +70,14 @@
     """A call that stands."""
 
     offer: OfferedCall
-    where: str
+    hub_name: str
     ended_by: str = ""  # who ended it
     releases_sent: int = 0  # releases told to the caller's side
     uncertain: bool = False  # the router can't know whether it still stands
 
 
 class RuleChecker:
-    """Watches one world."""
+    """Watches one virtual environment."""
 
     def __init__(self) -> None:
         self.env: VirtualEnvironment
@@ -102,7 +102,7 @@
         self.counts: dict[str, int] = {}
 
     def add_violation(self, rule: str, seen: str) -> None:
-        """Note a breach."""
+        """Note a violation."""
         self.violations.append(Violation(rule, f"at {(self.env.now_us - START_US) / 1e6:.6f} s: {seen}"))
 
     def count(self, what: str) -> None:
@@ -139,8 +139,12 @@
         elif standing_call is not None and not standing_call.ended_by:
             standing_call.ended_by = "caller"
             self.count("released by caller")
-            one = self.env.hubs.get(standing_call.where)
-            if one is not None and standing_call.where not in self.gone_hubs and not standing_call.uncertain:
+            one = self.env.hubs.get(standing_call.hub_name)
+            if (
+                one is not None
+                and standing_call.hub_name not in self.gone_hubs
+                and not standing_call.uncertain
+            ):
                 self.expect("hub released", ref, RELEASE_LIMIT_US)
 
     def on_caller_closed(self, caller: Caller) -> None:
@@ -217,13 +221,13 @@
         if last is None or not last.succeeded:
             self.add_violation("served by nobody", f"{offer.ref} stands and no hub answered it")
             return
-        given = hub.hub_description(last.where, offer.ref)
+        given = hub.hub_description(last.hub_name, offer.ref)
         if description != given:
             self.add_violation("description", f"{offer.ref}: {description!r} in place of {given!r}")
-        standing_call = self.standing[offer.ref] = StandingCall(offer, last.where)
-        self.unresolved_answers.pop((last.where, offer.ref), None)
-        unknown = last.where.encode() not in self.env.router.hubs.hubs and last.where != "h4"
-        if last.where in self.gone_hubs or unknown:
+        standing_call = self.standing[offer.ref] = StandingCall(offer, last.hub_name)
+        self.unresolved_answers.pop((last.hub_name, offer.ref), None)
+        unknown = last.hub_name.encode() not in self.env.router.hubs.hubs and last.hub_name != "h4"
+        if last.hub_name in self.gone_hubs or unknown:
             standing_call.uncertain = True  # the router takes it for another at that address
 
     def _on_down(self, caller: Caller | None, ref: str, cause: int) -> None:
@@ -274,7 +278,7 @@
             self.add_violation("release told to who released", f"{ref} with {cause}")
         elif not standing_call.ended_by and not standing_call.uncertain:
             self.add_violation(
-                "release invented", f"{ref} with {cause}: it still stands at {standing_call.where}"
+                "release invented", f"{ref} with {cause}: it still stands at {standing_call.hub_name}"
             )
         standing_call.ended_by = standing_call.ended_by or "router"
         self.count("release told")
@@ -283,7 +287,7 @@
 
     # Hubs: see ``standins.hub.HubObserver``.
 
-    def on_setup(self, one: hub.Hub, setup: hub.Setup) -> None:
+    def on_setup(self, at_hub: hub.Hub, setup: hub.Setup) -> None:
         """An INVITE came whole."""
         message = setup.message
         offer = self.open_offer(setup.ref) or next(
@@ -297,93 +301,98 @@
             gave_up = known[-1].given_up_us if known else None
             if gave_up is None or gave_up < self.env.now_us:
                 self.add_violation(
-                    "set-up of nobody's", f"{setup.ref} at {one.name}: no call is open under that id"
+                    "set-up of nobody's", f"{setup.ref} at {at_hub.name}: no call is open under that id"
                 )
             return
-        self.on_attempt(offer, one.name, one.cell, message.body, message.number)
+        self.on_attempt(offer, at_hub.name, at_hub.cell, message.body, message.number)
         left_ms = (offer.due_us - self.env.now_us) // 1000
         if int(message.headers["X-Patience"]) > left_ms + 1:
             self.add_violation(
                 "patience", f"{setup.ref}: {message.headers['X-Patience']} ms, {left_ms} are left"
             )
 
-    def on_attempt(self, offer: OfferedCall, where: str, cell: int, body: bytes, number: str) -> None:
+    def on_attempt(self, offer: OfferedCall, hub_name: str, cell: int, body: bytes, number: str) -> None:
         """An attempt was made."""
         now, ref = self.env.now_us, offer.ref
         if offer.attempts:
             last = offer.attempts[-1]
             if last.end_us is None:
-                self.add_violation("two attempts out", f"{ref} at {last.where} and at {where}")
+                self.add_violation("two attempts out", f"{ref} at {last.hub_name} and at {hub_name}")
             elif last.guarded and now < last.end_us + GUARD_US:
                 self.add_violation(
-                    "guard", f"{ref} at {where} {now - last.end_us} us after the attempt at {last.where}"
+                    "guard",
+                    f"{ref} at {hub_name} {now - last.end_us} us after the attempt at {last.hub_name}",
                 )
-        offer.attempts.append(Attempt(where, now))
+        offer.attempts.append(Attempt(hub_name, now))
         self.count(f"attempt {len(offer.attempts)}")
         if len(offer.attempts) > MAX_ATTEMPTS:
             self.add_violation("attempts", f"{ref}: {len(offer.attempts)} of them")
-        if now > self.draining_since_us.get(where, now) + DRAIN_LIMIT_US:
+        if now > self.draining_since_us.get(hub_name, now) + DRAIN_LIMIT_US:
             self.add_violation(
-                "drain", f"{ref} at {where}, told {now - self.draining_since_us[where]} us before"
+                "drain", f"{ref} at {hub_name}, told {now - self.draining_since_us[hub_name]} us before"
             )
-        if cell == HOME_CELL or offer.to < 0 or offer.transit and cell != offer.to:
-            self.add_violation("route", f"{ref} for {offer.to} at {where}")
+        if cell == HOME_CELL or offer.destination < 0 or offer.transit and cell != offer.destination:
+            self.add_violation("route", f"{ref} for {offer.destination} at {hub_name}")
         if body != offer.description:
-            self.add_violation("description", f"{ref} at {where}: {body!r} in place of {offer.description!r}")
+            self.add_violation(
+                "description", f"{ref} at {hub_name}: {body!r} in place of {offer.description!r}"
+            )
         if number != offer.number:
-            self.add_violation("number", f"{ref} at {where}: {number!r} in place of {offer.number!r}")
+            self.add_violation("number", f"{ref} at {hub_name}: {number!r} in place of {offer.number!r}")
 
-    def on_given_up(self, one: hub.Hub, setup: hub.Setup) -> None:
+    def on_given_up(self, at_hub: hub.Hub, setup: hub.Setup) -> None:
         """It was cancelled, or its connection ended."""
-        self._end_attempt(setup.ref, one.name, guarded=True)
+        self._end_attempt(setup.ref, at_hub.name, guarded=True)
         self.count("attempt given up")
 
-    def _end_attempt(self, ref: str, where: str, guarded: bool = False, succeeded: bool = False) -> None:
+    def _end_attempt(self, ref: str, hub_name: str, guarded: bool = False, succeeded: bool = False) -> None:
         for offer in reversed(self.by_ref.get(ref, [])):
             for one in reversed(offer.attempts):
-                if one.where == where and one.end_us is None:
+                if one.hub_name == hub_name and one.end_us is None:
                     one.end_us, one.guarded, one.succeeded = self.env.now_us, guarded, succeeded
                     return
 
-    def on_answering(self, one: hub.Hub, setup: hub.Setup, status: int) -> None:
+    def on_answering(self, at_hub: hub.Hub, setup: hub.Setup, status: int) -> None:
         """A hub answers."""
         if status < 200 or any(before >= 200 for before in setup.answers):
             return  # a second copy: the router acknowledges it and does no more
         self.count(f"hub says {status}")
         if setup.open:
-            self._end_attempt(setup.ref, one.name, guarded=status == 504, succeeded=status < 300)
+            self._end_attempt(setup.ref, at_hub.name, guarded=status == 504, succeeded=status < 300)
         if status < 300:
-            self.unresolved_answers[one.name, setup.ref] = self.env.now_us
+            self.unresolved_answers[at_hub.name, setup.ref] = self.env.now_us
             if setup.cancelled:
                 self.count("late answer")
 
-    def on_acknowledged(self, one: hub.Hub, ref: str) -> None:
+    def on_acknowledged(self, at_hub: hub.Hub, ref: str) -> None:
         """An ACK came."""
         self.expectations.pop(("acknowledged", ref), None)
 
-    def on_released(self, one: hub.Hub, ref: str) -> None:
+    def on_released(self, at_hub: hub.Hub, ref: str) -> None:
         """The router released a call at a hub."""
         standing_call = self.standing.get(ref)
         self.expectations.pop(("hub released", ref), None)
-        if self.unresolved_answers.pop((one.name, ref), None) is not None:
+        if self.unresolved_answers.pop((at_hub.name, ref), None) is not None:
             self.count("late answer undone")
         elif standing_call is not None and (
-            standing_call.uncertain or standing_call.where == one.name and standing_call.ended_by == "caller"
+            standing_call.uncertain
+            or standing_call.hub_name == at_hub.name
+            and standing_call.ended_by == "caller"
         ):
             del self.standing[ref]
             self.unknown_releases.setdefault(ref, 0)
         else:
             self.add_violation(
                 "release invented",
-                f"{ref} at {one.name} while "
+                f"{ref} at {at_hub.name} while "
                 + ("it stands" if standing_call and not standing_call.ended_by else "nothing stands"),
             )
 
-    def on_releasing(self, one: hub.Hub, ref: str) -> None:
+    def on_releasing(self, at_hub: hub.Hub, ref: str) -> None:
         """A hub releases a call."""
         standing_call = self.standing.get(ref)
-        pending = self.unresolved_answers.pop((one.name, ref), None)
-        if standing_call is not None and standing_call.where == one.name and not standing_call.ended_by:
+        pending = self.unresolved_answers.pop((at_hub.name, ref), None)
+        if standing_call is not None and standing_call.hub_name == at_hub.name and not standing_call.ended_by:
             standing_call.ended_by = "hub"
             self.count("released by hub")
             if self.env.exchange.active if standing_call.offer.caller is None else self.caller_reachable():
@@ -392,7 +401,7 @@
             self.unknown_releases[ref] = 1  # one more within 30 s is taken for a repeat and told no more
         elif pending is not None:
             # Ended before it was passed on: told after the answer.
-            self.unresolved_answers[one.name, ref] = pending
+            self.unresolved_answers[at_hub.name, ref] = pending
 
     def caller_reachable(self) -> bool:
         """Whether some connection is open that a release to callers may go to."""
@@ -419,7 +428,7 @@
     def on_hub_failed(self, name: str, dead: bool) -> None:
         """A hub's process or machine is in trouble: what stood there may be told as over at any time."""
         for ref, standing_call in self.standing.items():
-            if standing_call.where == name:
+            if standing_call.hub_name == name:
                 standing_call.uncertain = True
                 self.expectations.pop(("hub released", ref), None)
                 self.expectations.pop(("caller told", ref), None)
@@ -474,7 +483,7 @@
         if outbound is not None:
             self._end_attempt(outbound.ref, "h4", guarded=True)
             standing_call = self.standing.get(outbound.ref)
-            if standing_call is not None and standing_call.where == "h4":
+            if standing_call is not None and standing_call.hub_name == "h4":
                 self.expectations.pop(("hub released", outbound.ref), None)
                 if standing_call.ended_by != "caller" and not standing_call.uncertain:
                     self.add_violation("release invented", f"REL {cause} on {cic} while it stands")
@@ -504,11 +513,11 @@
             if now > due:
                 del self.expectations[what, ref]
                 self.add_violation(f"not {what}", f"{ref}, due {now - due} us ago")
-        for (where, ref), since in list(self.unresolved_answers.items()):
+        for (hub_name, ref), since in list(self.unresolved_answers.items()):
             if now > since + RELEASE_LIMIT_US:
-                del self.unresolved_answers[where, ref]
+                del self.unresolved_answers[hub_name, ref]
                 self.add_violation(
-                    "late answer not undone", f"{ref} at {where}, {now - since} us after its 200"
+                    "late answer not undone", f"{ref} at {hub_name}, {now - since} us after its 200"
                 )
         for offer in self.offers:
             if offer.open and offer.answer_due and now > offer.due_us:
@@ -523,4 +532,4 @@
             ):
                 offer.attempts[-1].end_us = now
                 late = f"{now - left_us} us after its caller gave it up"
-                self.add_violation("not cancelled", f"{offer.ref} at {offer.attempts[-1].where}, {late}")
+                self.add_violation("not cancelled", f"{offer.ref} at {offer.attempts[-1].hub_name}, {late}")
--- a/barleywheel/fuzz/scripts.py
+++ b/barleywheel/fuzz/scripts.py
@@ -300,17 +300,19 @@
 
     # What the world hears; a model that can't read the router's bytes says so.
 
-    def _on_message(self, one: caller.Caller, kind: str, ref: str, message: dict[str, Any]) -> None:
-        self.checker.on_message(one, kind, ref, message)
+    def _on_message(self, peer_caller: caller.Caller, kind: str, ref: str, message: dict[str, Any]) -> None:
+        self.checker.on_message(peer_caller, kind, ref, message)
 
-    def _on_close(self, one: caller.Caller, reset: bool) -> None:
-        self.checker.on_router_closed(one, reset)
+    def _on_close(self, peer_caller: caller.Caller, reset: bool) -> None:
+        self.checker.on_router_closed(peer_caller, reset)
 
-    def _on_isup(self, one: exchange.Exchange, cic: int, kind: int, body: bytes, found: bytes) -> None:
-        self.checker.on_isup(one, cic, kind, body, found)
-        if kind == exchange.IAM and one.answers_calls:
+    def _on_isup(
+        self, peer_exchange: exchange.Exchange, cic: int, kind: int, body: bytes, found: bytes
+    ) -> None:
+        self.checker.on_isup(peer_exchange, cic, kind, body, found)
+        if kind == exchange.IAM and peer_exchange.answers_calls:
             self.env.runtime.after(0, lambda: self._send_answer(cic))
-        elif kind == exchange.REL and one.completes_releases:
+        elif kind == exchange.REL and peer_exchange.completes_releases:
             self.env.runtime.after(0, lambda: self._complete_release(cic))
         elif kind == exchange.RLC:
             self.checker.on_circuit_freed(cic)
@@ -366,21 +368,28 @@
         return self.env.caller_connection(number)
 
     def _make_offer(
-        self, one: caller.Caller, call: int, to: int, gold: bool, left_ms: int, flags: str, number: int
+        self,
+        peer_caller: caller.Caller,
+        call: int,
+        destination: int,
+        gold: bool,
+        left_ms: int,
+        flags: str,
+        number: int,
     ) -> tuple[bytes, OfferedCall]:
         name = "gold" if gold else "voice"
         data = caller.encode_setup(
-            call_ref(call), to, call_description(call), name, left_ms, CALLED_NUMBERS[number], flags
+            call_ref(call), destination, call_description(call), name, left_ms, CALLED_NUMBERS[number], flags
         )
         valid = 0 < left_ms <= DEADLINE_US_BY_CLASS[name] // 1000 + 1000
         # While descriptors are short the router tries again each 50 ms: what waits to be accepted is late.
         now = self.env.now_us + 60_000 * sum(x.accept_failures for x in self.env.network.listeners.values())
         return data, OfferedCall(
             call_ref(call),
-            one,
+            peer_caller,
             now,
             now + (left_ms * 1000 if valid else 10_000_000),
-            to,
+            destination,
             call_description(call),
             CALLED_NUMBERS[number],
             "t" in flags,
@@ -390,75 +399,75 @@
         self,
         conn: int,
         call: int,
-        to: int,
+        destination: int,
         gold: bool = False,
         left_ms: int = 3000,
         flags: str = "",
         number: int = 0,
     ) -> None:
         """A set-up."""
-        if (one := self._caller_connection(conn)) is not None:
-            data, offer = self._make_offer(one, call, to, gold, left_ms, flags, number)
+        if (peer_caller := self._caller_connection(conn)) is not None:
+            data, offer = self._make_offer(peer_caller, call, destination, gold, left_ms, flags, number)
             self.checker.on_offer(offer)
-            one.transport.write(data)
+            peer_caller.transport.write(data)
             if offer.at_us > self.env.now_us:
                 self.env.run(offer.at_us - self.env.now_us)
 
-    def do_drip(self, conn: int, call: int, to: int, size: int = 1, gap_us: int = 0) -> None:
+    def do_drip(self, conn: int, call: int, destination: int, size: int = 1, gap_us: int = 0) -> None:
         """A set-up in pieces of so many bytes, each read before the next comes."""
-        if (one := self._caller_connection(conn)) is None:
+        if (peer_caller := self._caller_connection(conn)) is None:
             return
-        data, _ = self._make_offer(one, call, to, False, 3000, "", 0)
+        data, _ = self._make_offer(peer_caller, call, destination, False, 3000, "", 0)
         if gap_us * (len(data) // size) > 2_000_000:
             gap_us = 0
         for at in range(0, len(data), size):
-            if not one.open:
+            if not peer_caller.open:
                 return
             if at + size >= len(data):
-                self.checker.on_offer(self._make_offer(one, call, to, False, 3000, "", 0)[1])
-            one.transport.write(data[at : at + size])
+                self.checker.on_offer(self._make_offer(peer_caller, call, destination, False, 3000, "", 0)[1])
+            peer_caller.transport.write(data[at : at + size])
             self.env.run(gap_us)
 
     def do_down(self, conn: int, call: int, cause: int = 16) -> None:
         """A caller gives up a set-up, or releases a call."""
-        if (one := self._caller_connection(conn)) is not None:
+        if (peer_caller := self._caller_connection(conn)) is not None:
             self.checker.on_caller_release(call_ref(call))
-            one.transport.write(caller.encode_message("down", call_ref(call), c=cause))
+            peer_caller.transport.write(caller.encode_message("down", call_ref(call), c=cause))
 
     def do_test(self, conn: int) -> None:
         """A test."""
-        if (one := self._caller_connection(conn)) is not None:
-            self.checker.known_callers.add(one)
-            one.transport.write(caller.encode_message("hb", "1", c=0))
+        if (peer_caller := self._caller_connection(conn)) is not None:
+            self.checker.known_callers.add(peer_caller)
+            peer_caller.transport.write(caller.encode_message("hb", "1", c=0))
 
     def do_raw(self, conn: int, which: int) -> None:
         """What can't be read, or should not be."""
-        if (one := self._caller_connection(conn)) is not None:
-            self.checker.malformed_callers.add(one)
+        if (peer_caller := self._caller_connection(conn)) is not None:
+            self.checker.malformed_callers.add(peer_caller)
             self.checker.ignored_ids.add(MALFORMED_REF)
-            one.transport.write(MALFORMED_CALLER_DATA[which % len(MALFORMED_CALLER_DATA)])
+            peer_caller.transport.write(MALFORMED_CALLER_DATA[which % len(MALFORMED_CALLER_DATA)])
 
     def do_hang(self, conn: int, reset: int = 0) -> None:
         """A caller hangs up, or its connection is reset."""
-        one = self.env.callers.get(conn)
-        if one is not None and one.open:
-            self.checker.on_caller_closed(one)
+        peer_caller = self.env.callers.get(conn)
+        if peer_caller is not None and peer_caller.open:
+            self.checker.on_caller_closed(peer_caller)
             self.checker.waive_expectations()
-            one.close(bool(reset))
+            peer_caller.close(bool(reset))
 
     def do_stall(self, conn: int, on: int = 0) -> None:
         """A caller stops reading, or goes on."""
-        one = self.env.callers.get(conn)
-        if one is not None and one.open:
-            self.checker.malformed_callers.add(one)
-            one.transport.set_reading(bool(on))  # type: ignore[attr-defined]
+        peer_caller = self.env.callers.get(conn)
+        if peer_caller is not None and peer_caller.open:
+            self.checker.malformed_callers.add(peer_caller)
+            peer_caller.transport.set_reading(bool(on))  # type: ignore[attr-defined]
 
     def do_crowd(self, count: int) -> None:
         """Connections that say nothing."""
         for _ in range(min(count, 48)):
             self.crowd_number += 1
-            if (one := self.env.caller_connection(self.crowd_number)) is not None:
-                self.checker.malformed_callers.add(one)
+            if (peer_caller := self.env.caller_connection(self.crowd_number)) is not None:
+                self.checker.malformed_callers.add(peer_caller)
 
     # Hubs.
 
@@ -467,44 +476,44 @@
 
     def do_mode(self, cell: int, mode: str = "stand", delay_us: int = 0) -> None:
         """What a hub does with set-ups."""
-        one = self._hub(cell)
-        one.mode, one.delay_us = mode, delay_us
+        peer_hub = self._hub(cell)
+        peer_hub.mode, peer_hub.delay_us = mode, delay_us
 
     def do_answer(self, cell: int, which: int, status: str = "200") -> None:
         """A hub answers a set-up: the so many'th from the last."""
-        one = self._hub(cell)
-        if one.setups:
+        peer_hub = self._hub(cell)
+        if peer_hub.setups:
             code, _, note = status.partition(" ")
-            setup = one.setups[-1 - which % len(one.setups)]
+            setup = peer_hub.setups[-1 - which % len(peer_hub.setups)]
             if not any(before >= 200 for before in setup.answers):
-                one.answer(setup, int(code), note)
+                peer_hub.answer(setup, int(code), note)
 
     def do_copy(self, cell: int, which: int) -> None:
         """A second copy of an answer."""
-        one = self._hub(cell)
-        done = [setup for setup in one.setups if any(status >= 200 for status in setup.answers)]
+        peer_hub = self._hub(cell)
+        done = [setup for setup in peer_hub.setups if any(status >= 200 for status in setup.answers)]
         if done:
             setup = done[-1 - which % len(done)]
             if setup.conn.open:
-                body = hub.hub_description(one.name, setup.ref) if setup.answers[-1] < 300 else b""
+                body = hub.hub_description(peer_hub.name, setup.ref) if setup.answers[-1] < 300 else b""
                 setup.conn.transport.write(hub.answer(setup.message, setup.answers[-1], body))
 
     def do_bye(self, cell: int, which: int, cause: int = 16) -> None:
         """A hub releases a call that stands there."""
-        one = self._hub(cell)
-        if one.standing and one.conns:
-            refs = list(one.standing)
-            one.bye(refs[-1 - which % len(refs)], cause)
+        peer_hub = self._hub(cell)
+        if peer_hub.standing and peer_hub.conns:
+            refs = list(peer_hub.standing)
+            peer_hub.bye(refs[-1 - which % len(refs)], cause)
 
     def do_stray(self, cell: int, call: int, cause: int = 16) -> None:
         """A hub releases a call, whether it has it or not, and answers a set-up that it never got."""
-        one = self._hub(cell)
-        if one.conns:
-            if call_ref(call) not in one.standing and not any(
+        peer_hub = self._hub(cell)
+        if peer_hub.conns:
+            if call_ref(call) not in peer_hub.standing and not any(
                 call_ref(call) in other.standing for other in self.env.hubs.values()
             ):
-                one.bye(call_ref(call), cause)
-            conn = one.conns[0]
+                peer_hub.bye(call_ref(call), cause)
+            conn = peer_hub.conns[0]
             conn.transport.write(
                 b"SIP/2.0 200 OK\r\nCall-ID: ffff0000ffff0000\r\nCSeq: 1 INVITE\r\n"
                 b"Content-Length: 2\r\n\r\nzz"
@@ -512,12 +521,12 @@
 
     def do_spoil(self, cell: int, which: int) -> None:
         """A hub writes what can't be read."""
-        one = self._hub(cell)
-        if one.conns:
+        peer_hub = self._hub(cell)
+        if peer_hub.conns:
             raw = MALFORMED_HUB_DATA[which % len(MALFORMED_HUB_DATA)]
-            self.checker.on_hub_failed(one.name, dead=False)
+            self.checker.on_hub_failed(peer_hub.name, dead=False)
             self.checker.unknown_releases["ffff03aa00000002"] = 1
-            one.conns[-1].transport.write(raw)
+            peer_hub.conns[-1].transport.write(raw)
 
     def do_gauge(self, cell: int, free: int) -> None:
         """The state of a group."""
@@ -525,36 +534,36 @@
 
     def do_lose(self, cell: int, how: str) -> None:
         """A hub's process dies, its machine vanishes, or its connections end."""
-        one = self._hub(cell)
-        address = hub_address(one.name)
-        self.checker.on_hub_failed(one.name, dead=False)
+        peer_hub = self._hub(cell)
+        address = hub_address(peer_hub.name)
+        self.checker.on_hub_failed(peer_hub.name, dead=False)
         if how == "die":
             self.env.network.hosts.pop(address, None)
-            one.standing.clear()
+            peer_hub.standing.clear()
         elif how == "vanish":
             self.env.network.unreachable.add(address)
-            for conn in one.conns:
+            for conn in peer_hub.conns:
                 conn.transport.silent = True  # type: ignore[attr-defined]
-            for setup in one.setups:
+            for setup in peer_hub.setups:
                 if setup.open:
-                    self.checker.on_given_up(one, setup)
+                    self.checker.on_given_up(peer_hub, setup)
                     setup.open = False
-            one.conns.clear()
-            one.standing.clear()
+            peer_hub.conns.clear()
+            peer_hub.standing.clear()
             return
         elif how == "deaf":
-            one.ignores_options = True
+            peer_hub.ignores_options = True
             return
-        for conn in list(one.conns):
+        for conn in list(peer_hub.conns):
             conn.close(reset=how != "close")
 
     def do_mend(self, cell: int) -> None:
         """A hub serves again."""
-        one = self._hub(cell)
-        address = hub_address(one.name)
-        one.ignores_options = False
+        peer_hub = self._hub(cell)
+        address = hub_address(peer_hub.name)
+        peer_hub.ignores_options = False
         self.env.network.unreachable.discard(address)
-        self.env.network.hosts[address] = one.accept_connection
+        self.env.network.hosts[address] = peer_hub.accept_connection
 
     # The journal.
 
@@ -598,52 +607,58 @@
 
     def do_journal(self, mode: str) -> None:
         """The journal service is well, stalls, breaks off or is away."""
-        one, hosts = self.env.journal, self.env.network.hosts
+        journal, hosts = self.env.journal, self.env.network.hosts
         address = self._journal_address()
-        one.mode = mode if mode != "refuse" else "ok"
-        hosts[address] = one.accept_connection
+        journal.mode = mode if mode != "refuse" else "ok"
+        hosts[address] = journal.accept_connection
         if mode == "refuse":
             del hosts[address]
-            for poll in list(one.polls):
+            for poll in list(journal.polls):
                 poll.transport.close(reset=True)
                 poll.connection_lost(True)
         if mode == "ok":
-            for poll in list(one.polls):
+            for poll in list(journal.polls):
                 if poll.tail is not None:
-                    one.respond(poll)
+                    journal.respond(poll)
 
     def _journal_address(self) -> tuple[str, int]:
         return JOURNAL_ADDRESSES[max(0, self.env.journal_index)]
 
     def do_garble(self, which: int) -> None:
         """The journal answers with what is no answer, once or more."""
-        one = self.env.journal
-        one.mode, one.bad_body = "garble", MALFORMED_JOURNAL_BODIES[which % len(MALFORMED_JOURNAL_BODIES)]
+        journal = self.env.journal
+        journal.mode, journal.bad_body = (
+            "garble",
+            MALFORMED_JOURNAL_BODIES[which % len(MALFORMED_JOURNAL_BODIES)],
+        )
         self._serve_bad_body()
 
     def do_http(self, which: int) -> None:
         """The journal answers with what is no HTTP."""
-        one = self.env.journal
-        one.mode, one.bad_body = "raw", MALFORMED_HTTP_RESPONSES[which % len(MALFORMED_HTTP_RESPONSES)]
+        journal = self.env.journal
+        journal.mode, journal.bad_body = (
+            "raw",
+            MALFORMED_HTTP_RESPONSES[which % len(MALFORMED_HTTP_RESPONSES)],
+        )
         self._serve_bad_body()
 
     def _serve_bad_body(self) -> None:
-        one = self.env.journal
-        for poll in list(one.polls):
+        journal = self.env.journal
+        for poll in list(journal.polls):
             if poll.tail is not None:
-                one.respond(poll)
+                journal.respond(poll)
         self.env.run(250_000)
-        one.mode = "ok"
-        one.pos = max(one.pos, self.env.router.journal.pos)
+        journal.mode = "ok"
+        journal.pos = max(journal.pos, self.env.router.journal.pos)
 
     def do_skip(self, numbers: int) -> None:
         """An event whose number leaves some out, or one that was told before comes again."""
-        one = self.env.journal
+        journal = self.env.journal
         if numbers:
             self._publish([hub_endpoint(self.hub_names[1])], skip=numbers)
             self.checker.on_hub_ready(self.hub_names[1])
         else:
-            one.entries = one.entries[-3:] + one.entries[-1:]
+            journal.entries = journal.entries[-3:] + journal.entries[-1:]
 
     def do_hup(self, how: int) -> None:
         """SIGHUP: the journal has moved, or not, or the file is spoilt."""
@@ -666,22 +681,22 @@
 
     def do_link(self, how: str) -> None:
         """The exchange's link comes up, goes down, or loses its ASP."""
-        one = self.env.exchange
+        peer_exchange = self.env.exchange
         if how == "up":
-            if one.active:
+            if peer_exchange.active:
                 self._on_link_lost()  # ASPUP takes an active one back to inactive (RFC 4666, 4.3.4.1)
             if self.env.connect_link():
-                one.activate()
+                peer_exchange.activate()
             return
         if how == "mute":
-            one.answers_heartbeats = not one.answers_heartbeats
+            peer_exchange.answers_heartbeats = not peer_exchange.answers_heartbeats
             return
         if how == "inactive":
-            one.write(exchange.encode(exchange.ASPIA, exchange.ROUTING_CONTEXT))
+            peer_exchange.write(exchange.encode(exchange.ASPIA, exchange.ROUTING_CONTEXT))
         elif how == "down":
-            one.write(exchange.encode(exchange.ASPDN, {}))
+            peer_exchange.write(exchange.encode(exchange.ASPDN, {}))
         else:
-            one.drop(how == "reset")
+            peer_exchange.drop(how == "reset")
         self._on_link_lost()
 
     def _on_link_lost(self) -> None:
@@ -691,35 +706,36 @@
         self.checker.on_hub_failed("h4", dead=False)
         for offer in self.checker.outbound_circuits.values():
             for one in offer.attempts:
-                if one.where == "h4" and one.end_us is None:
+                if one.hub_name == "h4" and one.end_us is None:
                     one.end_us, one.guarded = self.env.now_us, True
 
     def do_iam(self, cic: int, call: int, number: str = "7f3a", gold: int = 0) -> None:
         """The exchange sets up a call on a circuit that it holds idle."""
-        one, checker = self.env.exchange, self.checker
+        peer_exchange, checker = self.env.exchange, self.checker
         taken = (
             cic in checker.inbound_circuits or cic in checker.released_by or cic in checker.outbound_circuits
         )
-        if taken or not one.active or not 1 <= cic <= CIRCUIT_COUNT:
+        if taken or not peer_exchange.active or not 1 <= cic <= CIRCUIT_COUNT:
             return
         now = self.env.now_us
         description = b"x%d-%d-%d" % (cic, call, now % 1_000_000_007)
         if any(offer.description == description for offer in checker.offers):
             return
         served = gold < 2 and len(number) <= 16
-        to = {"7": 1, "0": 1, "1": 1, "2": 2, "3": 3}.get(number[:1], -1) if served else -1
+        destination = {"7": 1, "0": 1, "1": 1, "2": 2, "3": 3}.get(number[:1], -1) if served else -1
         due_us = now + (3_000_000, 2_000_000, 3_000_000)[gold]
         checker.on_exchange_offer(
-            cic, OfferedCall(f"on circuit {cic}", None, now, due_us, to, description, number, cic=cic)
+            cic,
+            OfferedCall(f"on circuit {cic}", None, now, due_us, destination, description, number, cic=cic),
         )
-        one.write(exchange.encode_iam(cic, description, (10, 11, 77)[gold], number))
+        peer_exchange.write(exchange.encode_iam(cic, description, (10, 11, 77)[gold], number))
 
     def _send_answer(self, cic: int) -> None:
         offer = self.checker.outbound_circuits.get(cic)
         if offer is None or not self.env.exchange.active or cic in self.checker.released_by:
             return
         last = offer.attempts[-1]
-        if last.where == "h4" and last.end_us is None:
+        if last.hub_name == "h4" and last.end_us is None:
             last.end_us, last.succeeded = self.env.now_us, True
             self.env.exchange.write(exchange.encode_anm(cic, hub.hub_description("h4", offer.ref)[:250]))
             self.checker.unresolved_answers["h4", offer.ref] = self.env.now_us
@@ -733,9 +749,9 @@
 
     def do_rel(self, which: int, cause: int = 16, reset: int = 0) -> None:
         """The exchange releases or resets a circuit that has a call."""
-        checker, one = self.checker, self.env.exchange
+        checker, peer_exchange = self.checker, self.env.exchange
         taken = sorted(set(checker.inbound_circuits) | set(checker.outbound_circuits))
-        if not taken or not one.active:
+        if not taken or not peer_exchange.active:
             return
         cic = taken[which % len(taken)]
         inbound, outbound = checker.inbound_circuits.get(cic), checker.outbound_circuits.get(cic)
@@ -753,15 +769,17 @@
                     checker.expect("hub released", inbound.ref, 1_000_000)
         if outbound is not None:
             last = outbound.attempts[-1]
-            if last.where == "h4" and last.end_us is None:
+            if last.hub_name == "h4" and last.end_us is None:
                 last.end_us, last.guarded = self.env.now_us, cause == 41 or bool(reset)
             checker.unresolved_answers.pop(("h4", outbound.ref), None)
             standing_call = checker.standing.get(outbound.ref)
-            if standing_call is not None and standing_call.where == "h4" and not standing_call.ended_by:
+            if standing_call is not None and standing_call.hub_name == "h4" and not standing_call.ended_by:
                 standing_call.ended_by = "hub"
                 if checker.caller_reachable() and not standing_call.uncertain:
                     checker.expect("caller told", outbound.ref, 1_000_000)
-        one.write(exchange.encode_data(cic, exchange.RSC) if reset else exchange.encode_rel(cic, cause))
+        peer_exchange.write(
+            exchange.encode_data(cic, exchange.RSC) if reset else exchange.encode_rel(cic, cause)
+        )
 
     def _complete_release(self, cic: int) -> None:
         if self.checker.released_by.get(cic) == "router" and self.env.exchange.write(
@@ -777,8 +795,8 @@
 
     def do_exchange(self, answers: int, completes: int) -> None:
         """Whether the exchange answers calls and completes releases by itself."""
-        one = self.env.exchange
-        one.answers_calls, one.completes_releases = bool(answers), bool(completes)
+        peer_exchange = self.env.exchange
+        peer_exchange.answers_calls, peer_exchange.completes_releases = bool(answers), bool(completes)
 
     def do_frame(self, which: int) -> None:
         """The exchange sends what it should not."""
@@ -825,9 +843,9 @@
         self.do_journal("ok")
         for cell in HUB_CELLS:
             self.do_mend(cell)
-            one = self._hub(cell)
-            one.mode, one.delay_us = "stand", 0
-            one.send_state(20)
+            peer_hub = self._hub(cell)
+            peer_hub.mode, peer_hub.delay_us = "stand", 0
+            peer_hub.send_state(20)
         for number in (0, 1, 2):
             if (conn := env.callers.get(number)) is not None and conn.open:
                 conn.transport.set_reading(True)  # type: ignore[attr-defined]
@@ -856,13 +874,13 @@
                 break
             for cell in missing:
                 call = 1000 + 10 * again + cell
-                one = env.caller_connection(90)
-                if one is None:
+                peer_caller = env.caller_connection(90)
+                if peer_caller is None:
                     checker.add_violation("not served again", "no connection is taken")
                     return set(HUB_CELLS)
-                data, offer = self._make_offer(one, call, cell, True, 3000, "", 0)
+                data, offer = self._make_offer(peer_caller, call, cell, True, 3000, "", 0)
                 checker.on_offer(offer)
-                one.transport.write(data)
+                peer_caller.transport.write(data)
                 env.run(100_000)
                 if "up" in offer.answers:
                     served.add(cell)
@@ -916,9 +934,9 @@
 
 def run_script(steps: list[Step], thorough: bool = True) -> tuple[list[Violation], dict[str, int]]:
     """Play a script; its breaches, and what it reached."""
-    one = ScriptRunner()
-    violations = one.run(steps, thorough)
-    reached = dict(one.checker.counts)
-    for template, count in one.env.log_recorder.templates.items():
+    runner = ScriptRunner()
+    violations = runner.run(steps, thorough)
+    reached = dict(runner.checker.counts)
+    for template, count in runner.env.log_recorder.templates.items():
         reached["log: " + template] = count
     return violations, reached
--- a/barleywheel/fuzz/shrink.py
+++ b/barleywheel/fuzz/shrink.py
@@ -10,10 +10,10 @@
 SHRINK_SECONDS = 20.0
 
 
-def shrink(found: Input, fails: Callable[[Input], bool], seconds: float = SHRINK_SECONDS) -> Input:
+def shrink(fuzz_input: Input, fails: Callable[[Input], bool], seconds: float = SHRINK_SECONDS) -> Input:
     """The smallest input reached within the time that still fails; deterministic but for that bound."""
     until = time.monotonic() + seconds
-    best, again = found, True
+    best, again = fuzz_input, True
     while again and time.monotonic() < until:
         again = False
         for smaller in _smaller(best):
@@ -33,12 +33,12 @@
     return best
 
 
-def _smaller(found: Input) -> Iterator[Input]:
+def _smaller(fuzz_input: Input) -> Iterator[Input]:
     """Without a part of it, large parts first."""
-    size = len(found) // 2
+    size = len(fuzz_input) // 2
     while size >= 1:
-        for at in range(len(found) - size, -1, -size):
-            yield found[:at] + found[at + size :]  # type: ignore[operator]
+        for at in range(len(fuzz_input) - size, -1, -size):
+            yield fuzz_input[:at] + fuzz_input[at + size :]  # type: ignore[operator]
         size //= 2
 
 
--- a/barleywheel/fuzz/source.py
+++ b/barleywheel/fuzz/source.py
@@ -12,8 +12,8 @@
 class Source(Protocol):
     """Where choices come from."""
 
-    def below(self, most: int) -> int:
-        """A whole number from 0 to ``most`` - 1."""
+    def below(self, limit: int) -> int:
+        """A whole number from 0 to ``limit`` - 1."""
 
 
 class SeededSource:
@@ -22,9 +22,9 @@
     def __init__(self, seed: int | str) -> None:
         self._random = random.Random(seed)
 
-    def below(self, most: int) -> int:
+    def below(self, limit: int) -> int:
         """See ``Source``."""
-        return int(self._random.random() * most)
+        return int(self._random.random() * limit)
 
 
 class ByteSource:
@@ -38,12 +38,12 @@
         """Whether the bytes have run out."""
         return self._at >= len(self._data)
 
-    def below(self, most: int) -> int:
+    def below(self, limit: int) -> int:
         """See ``Source``."""
-        size = 1 if most <= 256 else 2
+        size = 1 if limit <= 256 else 2
         taken = self._data[self._at : self._at + size]
         self._at += size
-        return int.from_bytes(taken, "big") % most
+        return int.from_bytes(taken, "big") % limit
 
 
 class HypothesisSource:
@@ -52,9 +52,9 @@
     def __init__(self, data: Any, integers: Any) -> None:
         self._data, self._integers = data, integers
 
-    def below(self, most: int) -> int:
+    def below(self, limit: int) -> int:
         """See ``Source``."""
-        return int(self._data.draw(self._integers(0, most - 1)))
+        return int(self._data.draw(self._integers(0, limit - 1)))
 
 
 def pick(source: Source, options: Sequence[T]) -> T:
--- a/barleywheel/fuzz/targets.py
+++ b/barleywheel/fuzz/targets.py
@@ -36,10 +36,10 @@
     words: tuple[bytes, ...] = ()
     quick_check: Callable[[Any], Result] | None = None  # a shorter check, for most inputs of a run
 
-    def check(self, found: Input) -> Result:
+    def check(self, fuzz_input: Input) -> Result:
         """Run one input; what raises in the harness itself is a finding as well."""
         try:
-            return self.run(found)
+            return self.run(fuzz_input)
         except RecursionError as error:
             return [Violation("recursion", str(error))], {}
 
--- a/barleywheel/fuzz/worker.py
+++ b/barleywheel/fuzz/worker.py
@@ -23,32 +23,36 @@
     sys.stdout.flush()
 
 
-def report_finding(found: Finding) -> None:
+def report_finding(finding: Finding) -> None:
     """News of a finding."""
-    send_message(finding=found.rule, target=found.target, seen=found.seen, **corpus.to_json(found.input))
+    send_message(
+        finding=finding.rule, target=finding.target, seen=finding.seen, **corpus.to_json(finding.input)
+    )
 
 
-def report_progress(target: Target, done: FuzzProgress) -> None:
+def report_progress(target: Target, progress: FuzzProgress) -> None:
     """News of how far a target is."""
-    send_message(target=target.name, inputs=done.inputs, seconds=done.seconds, reached=len(done.features))
+    send_message(
+        target=target.name, inputs=progress.inputs, seconds=progress.seconds, reached=len(progress.features)
+    )
 
 
 def fuzz_seeded(
     target: Target, seed: int, seconds: float, inputs: int, entries: list[corpus.CorpusEntry]
 ) -> None:
     """The engine of our own."""
-    session, told = FuzzSession(target, seed, entries), set()
+    session, reported = FuzzSession(target, seed, entries), set()
 
-    def report(done: FuzzProgress) -> None:
-        report_progress(target, done)
-        for rule, found in done.findings.items():
-            if rule not in told:
-                told.add(rule)
-                report_finding(found)
+    def report(progress: FuzzProgress) -> None:
+        report_progress(target, progress)
+        for rule, finding in progress.findings.items():
+            if rule not in reported:
+                reported.add(rule)
+                report_finding(finding)
 
-    done = session.run(seconds, inputs, report)
+    progress = session.run(seconds, inputs, report)
     send_message(
-        target=target.name, kept=[{"note": one.note, **corpus.to_json(one.input)} for one in done.entries]
+        target=target.name, kept=[{"note": one.note, **corpus.to_json(one.input)} for one in progress.entries]
     )
 
 
@@ -80,19 +84,19 @@
             if len(word) < 64
         )
     )
-    done, start, told = FuzzProgress(), time.monotonic(), [0.0]
+    progress, start, last_report = FuzzProgress(), time.monotonic(), [0.0]
 
-    def one(data: bytes) -> None:
+    def run_input(data: bytes) -> None:
         violations, _ = target.check(data)
-        done.inputs += 1
+        progress.inputs += 1
         now = time.monotonic()
         for violation in violations[:1]:
-            if violation.rule not in done.findings:
-                found = done.findings[violation.rule] = shrink_finding(target, data, violation, 5.0)
-                report_finding(found)
-        if now - told[0] > 0.5:
-            told[0], done.seconds = now, now - start
-            report_progress(target, done)
+            if violation.rule not in progress.findings:
+                finding = progress.findings[violation.rule] = shrink_finding(target, data, violation, 5.0)
+                report_finding(finding)
+        if now - last_report[0] > 0.5:
+            last_report[0], progress.seconds = now, now - start
+            report_progress(target, progress)
 
     atheris.Setup(
         [
@@ -105,23 +109,23 @@
             "-print_final_stats=0",
             str(folder),
         ],
-        one,
+        run_input,
     )
     atheris.Fuzz()
 
 
 def main() -> None:
     """Work as the one argument, a JSON object, says."""
-    order = json.loads(sys.argv[1])
-    target, seed, seconds = TARGETS[order["target"]], order["seed"], order["seconds"]
-    entries = corpus.load(Path(order["corpus"]) / f"{target.name}.jsonl") if order["corpus"] else []
-    match order["engine"]:
+    job = json.loads(sys.argv[1])
+    target, seed, seconds = TARGETS[job["target"]], job["seed"], job["seconds"]
+    entries = corpus.load(Path(job["corpus"]) / f"{target.name}.jsonl") if job["corpus"] else []
+    match job["engine"]:
         case "atheris":
-            fuzz_with_atheris(target, seed, seconds, entries, Path(order["folder"]))
+            fuzz_with_atheris(target, seed, seconds, entries, Path(job["folder"]))
         case "hypothesis":
             fuzz_with_hypothesis(target, seed, seconds)
         case _:
-            fuzz_seeded(target, seed, seconds, order["inputs"], entries)
+            fuzz_seeded(target, seed, seconds, job["inputs"], entries)
 
 
 if __name__ == "__main__":
--- a/barleywheel/standins/caller.py
+++ b/barleywheel/standins/caller.py
@@ -24,7 +24,7 @@
 
 def encode_setup(
     ref: str,
-    to: int,
+    destination: int,
     description: bytes,
     class_name: str = "voice",
     left_ms: int = 3000,
@@ -32,7 +32,7 @@
     flags: str = "",
 ) -> bytes:
     """A set-up. Flags: ``r`` redialled, ``t`` in transit (from exchange 3), ``a`` cut and come again."""
-    extras = f"dest:{to};width:1;via:{3 if 't' in flags else -1}"
+    extras = f"dest:{destination};width:1;via:{3 if 't' in flags else -1}"
     extras += ";transit:1" * ("t" in flags) + ";again:1" * ("a" in flags)
     fields = {"class": class_name, "left": str(left_ms), "key": number, "extras": extras}
     if "r" in flags:
--- a/barleywheel/virtual/environment.py
+++ b/barleywheel/virtual/environment.py
@@ -218,9 +218,9 @@
 
     def add_hub(self, name: str) -> hub.Hub:
         """A hub that listens at its cell's address."""
-        made = self.hubs[name] = hub.Hub(name, int(name[1]), self.observer, self.runtime.after)
-        self.network.hosts[hub_address(name)] = made.accept_connection
-        return made
+        model = self.hubs[name] = hub.Hub(name, int(name[1]), self.observer, self.runtime.after)
+        self.network.hosts[hub_address(name)] = model.accept_connection
+        return model
 
     def caller_connection(self, number: int) -> caller.Caller | None:
         """An open connection from callers, dialled where there is none; None where nobody listens."""
@@ -230,8 +230,10 @@
         self.connections_made += 1
 
         def make_handler(peer_socket: PeerSocket) -> StreamHandler:
-            made = self.callers[number] = caller.Caller(number, peer_socket, self._on_message, self._on_close)
-            return made
+            model = self.callers[number] = caller.Caller(
+                number, peer_socket, self._on_message, self._on_close
+            )
+            return model
 
         connected = self.network.connect_to_router(
             CALLER_LISTEN_ADDRESS, (f"10.3.0.{number + 1}", 40000 + self.connections_made), make_handler
--- a/tests/controller_harness.py
+++ b/tests/controller_harness.py
@@ -50,7 +50,7 @@
             api.Discovery(api.ListMode.CACHED, [api.Entry(exchange_id(c), c) for c in range(cells)])
         )
         for cell in range(1, cells):
-            self.circuits(cell, 20)
+            self.set_circuits(cell, 20)
 
     def send_event(self, event: api.Event) -> list[api.Action]:
         actions = self.controller.handle(self.now, event)
@@ -69,21 +69,21 @@
         self.now = end
         return out
 
-    def circuits(self, cell: int, free: float, size: float = 20) -> list[api.Action]:
+    def set_circuits(self, cell: int, free: float, size: float = 20) -> list[api.Action]:
         load = api.Load(free_circuits=free, group_size=size)
         return self.send_event(api.LoadSeen(exchange_id(cell), api.Outcome.OK, 0, load))
 
-    def offer(self, to: int = 1, left: int = 3 * SECOND_US, **more: Any) -> list[api.Action]:
+    def offer_call(self, to: int = 1, left: int = 3 * SECOND_US, **more: Any) -> list[api.Action]:
         self.calls += 1
         return self.send_event(api.CallOffered(self.calls, left, to, **more))
 
-    def end(
+    def end_attempt(
         self, outcome: api.Outcome, cell: int = 1, call: int = 0, attempt: int = 0, **more: Any
     ) -> list[api.Action]:
         call = call or self.calls
         return self.send_event(api.AttemptEnded(call, attempt, exchange_id(cell), outcome, **more))
 
-    def stands(self, cell: int = 1, call: int = 0, took: int = 50_000) -> list[api.Action]:
+    def call_stands(self, cell: int = 1, call: int = 0, took: int = 50_000) -> list[api.Action]:
         return self.send_event(api.CallStands(call or self.calls, 0, exchange_id(cell), took))
 
 
--- a/tests/network_harness.py
+++ b/tests/network_harness.py
@@ -192,10 +192,10 @@
             )
             self.changed.notify_all()
 
-    def after(self, tail: int) -> dict[str, Any]:
+    def entries_after(self, tail: int) -> dict[str, Any]:
         return {"pos": len(self.entries), "entries": self.entries[tail:]}
 
-    def has_after(self, tail: int) -> bool:
+    def has_entries_after(self, tail: int) -> bool:
         return len(self.entries) > tail
 
     def _accept(self) -> None:
@@ -212,8 +212,8 @@
                 if self.stall:
                     continue
                 with self.changed:
-                    self.changed.wait_for(partial(self.has_after, tail), wait / 1000)
-                    body = json.dumps(self.after(tail)).encode()
+                    self.changed.wait_for(partial(self.has_entries_after, tail), wait / 1000)
+                    body = json.dumps(self.entries_after(tail)).encode()
                 sock.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body)
 
 
@@ -265,7 +265,7 @@
                 "seed": "8c1f30d27a5be964",
                 "limits": self.limits,
                 "journal": f"127.0.0.1:{self.journal.listener.getsockname()[1]}",
-                "known": self.journal.after(0),
+                "known": self.journal.entries_after(0),
                 "settings": self.settings,
             }
         )
--- a/tests/test_brain.py
+++ b/tests/test_brain.py
@@ -18,8 +18,8 @@
     """Let each of a few epochs end with set-ups refused by a full processor."""
     for _ in range(epochs):
         for _ in range(4):
-            if actions_of_type(harness.offer(cell), api.SetUp):
-                harness.end(Outcome.REJECTED, cell, cause=Cause.PROCESSOR_FULL)
+            if actions_of_type(harness.offer_call(cell), api.SetUp):
+                harness.end_attempt(Outcome.REJECTED, cell, cause=Cause.PROCESSOR_FULL)
         harness.run(SECOND_US)
 
 
@@ -28,36 +28,36 @@
 
 def test_direct_first() -> None:
     harness = ControllerHarness()
-    assert [a.exchange for a in actions_of_type(harness.offer(2), api.SetUp)] == [exchange_id(2)]
+    assert [a.exchange for a in actions_of_type(harness.offer_call(2), api.SetUp)] == [exchange_id(2)]
 
 
 def test_overflow_to_a_tandem_when_the_group_is_full() -> None:
     harness = ControllerHarness()
-    harness.circuits(1, 0)
-    (sent,) = actions_of_type(harness.offer(1), api.SetUp)
+    harness.set_circuits(1, 0)
+    (sent,) = actions_of_type(harness.offer_call(1), api.SetUp)
     assert sent.exchange in (exchange_id(2), exchange_id(3))
 
 
 def test_tandem_weight_follows_success() -> None:
     harness = ControllerHarness()
-    harness.circuits(1, 0)
-    (sent,) = actions_of_type(harness.offer(1), api.SetUp)
+    harness.set_circuits(1, 0)
+    (sent,) = actions_of_type(harness.offer_call(1), api.SetUp)
     tandem = harness.controller.exchanges[sent.exchange]
-    harness.end(Outcome.REJECTED, sent.exchange[2], cause=Cause.TURNED_BACK)
+    harness.end_attempt(Outcome.REJECTED, sent.exchange[2], cause=Cause.TURNED_BACK)
     assert tandem.weight == pytest.approx(brain.WEIGHT_DOWN)
-    harness.circuits(1, 0)
+    harness.set_circuits(1, 0)
     harness.controller.exchanges[exchange_id(5 - sent.exchange[2])].free = 0
-    harness.offer(1)
-    harness.stands(sent.exchange[2])
+    harness.offer_call(1)
+    harness.call_stands(sent.exchange[2])
     assert tandem.weight == pytest.approx(brain.WEIGHT_DOWN + brain.WEIGHT_UP)
 
 
 def test_transit_goes_to_its_destination_or_back() -> None:
     harness = ControllerHarness()
-    (sent,) = actions_of_type(harness.offer(2, in_transit=True, source=1), api.SetUp)
+    (sent,) = actions_of_type(harness.offer_call(2, in_transit=True, source=1), api.SetUp)
     assert sent.exchange == exchange_id(2)
-    harness.circuits(3, 0)
-    actions = harness.offer(3, in_transit=True, source=1)
+    harness.set_circuits(3, 0)
+    actions = harness.offer_call(3, in_transit=True, source=1)
     assert actions_of_type(actions, api.Refuse) and not actions_of_type(actions, api.SetUp)
 
 
@@ -76,7 +76,7 @@
     assert harness.controller.exchanges[exchange_id(1)].f < 0.3
     refused = 0
     for _ in range(40):
-        actions = harness.offer(1)
+        actions = harness.offer_call(1)
         if actions_of_type(actions, api.Refuse):
             refused += 1
             assert not actions_of_type(actions, api.SetUp)
@@ -94,18 +94,18 @@
 def test_own_occupancy_follows_the_set_up_delay() -> None:
     harness = ControllerHarness()
     for took in [10_000] * 12 + [1_000_000] * 60:
-        harness.offer(1)
-        harness.stands(took=took)
-        harness.circuits(1, 20)
+        harness.offer_call(1)
+        harness.call_stands(took=took)
+        harness.set_circuits(1, 20)
     harness.run(3 * SECOND_US)
     assert harness.controller.f < 1.0
 
 
 def test_circuits_are_counted_between_reports() -> None:
     harness = ControllerHarness()
-    harness.circuits(1, 1)
-    harness.offer(1)
-    assert actions_of_type(harness.offer(1), api.SetUp)[0].exchange != exchange_id(1)
+    harness.set_circuits(1, 1)
+    harness.offer_call(1)
+    assert actions_of_type(harness.offer_call(1), api.SetUp)[0].exchange != exchange_id(1)
 
 
 # The five rules.
@@ -113,25 +113,25 @@
 
 def test_rule_1_an_unanswered_call_fails_before_its_time_is_out() -> None:
     harness = ControllerHarness()
-    harness.offer(1, left=SECOND_US)
+    harness.offer_call(1, left=SECOND_US)
     actions = harness.run(SECOND_US)
     assert [a.call for a in actions_of_type(actions, api.Fail)] == [1]
     assert actions_of_type(actions, api.Cancel)
-    harness.end(Outcome.CANCELLED)
+    harness.end_attempt(Outcome.CANCELLED)
     assert len([a for a in harness.actions if isinstance(a, api.Fail | api.Refuse)]) == 1
 
 
 def test_rule_1_transit_is_answered_in_time_too() -> None:
     harness = ControllerHarness()
-    harness.offer(1, left=SECOND_US, in_transit=True, source=2)
+    harness.offer_call(1, left=SECOND_US, in_transit=True, source=2)
     assert [a.call for a in actions_of_type(harness.run(SECOND_US), api.Fail)] == [1]
 
 
 def test_rule_1_nothing_is_sent_after_the_end() -> None:
     harness = ControllerHarness()
-    harness.offer(1)
+    harness.offer_call(1)
     harness.send_event(api.CallerGone(1))
-    harness.end(Outcome.TIMEOUT)
+    harness.end_attempt(Outcome.TIMEOUT)
     harness.send_event(api.CallerGone(1))
     harness.run(5 * SECOND_US)
     late = harness.actions[-20:]
@@ -144,10 +144,10 @@
 
 def test_rule_1_late_events_do_not_send_past_the_deadline() -> None:
     harness = ControllerHarness()
-    harness.circuits(1, 0)
-    (sent,) = actions_of_type(harness.offer(1, left=SECOND_US), api.SetUp)
+    harness.set_circuits(1, 0)
+    (sent,) = actions_of_type(harness.offer_call(1, left=SECOND_US), api.SetUp)
     harness.now += 2 * SECOND_US  # the timer has not been delivered
-    actions = harness.end(Outcome.REJECTED, sent.exchange[2], cause=Cause.TURNED_BACK)
+    actions = harness.end_attempt(Outcome.REJECTED, sent.exchange[2], cause=Cause.TURNED_BACK)
     assert actions_of_type(actions, api.Fail) and not actions_of_type(actions, api.SetUp)
 
 
@@ -156,8 +156,8 @@
     rng = random.Random(5)
     out: set[int] = set()
     for _ in range(400):
-        harness.circuits(1, rng.choice([0, 1, 20]))
-        harness.offer(rng.choice([1, 2, 3]))
+        harness.set_circuits(1, rng.choice([0, 1, 20]))
+        harness.offer_call(rng.choice([1, 2, 3]))
         for action in harness.actions:
             if isinstance(action, api.SetUp):
                 assert action.call not in out
@@ -169,7 +169,9 @@
             if call is None or call.out is None:
                 continue
             kind = rng.choice([Outcome.REJECTED, Outcome.TIMEOUT, Outcome.NOT_SENT])
-            harness.end(kind, call.out.entry.cell, number, call.attempts - 1, cause=rng.choice(list(Cause)))
+            harness.end_attempt(
+                kind, call.out.entry.cell, number, call.attempts - 1, cause=rng.choice(list(Cause))
+            )
         harness.run(rng.choice([0, 100_000]))
 
 
@@ -179,15 +181,19 @@
     harness = ControllerHarness()
     ready = [api.Entry(exchange_id(c), c) for c in (0, 2, 3)] if mode is api.ListMode.FULL else []
     harness.send_event(api.Discovery(mode, [*ready, api.Entry(exchange_id(1), 1, state)]))
-    harness.circuits(2, 0)
-    sent = [a for _ in range(20) for a in actions_of_type(harness.offer(1) + harness.offer(2), api.SetUp)]
+    harness.set_circuits(2, 0)
+    sent = [
+        a
+        for _ in range(20)
+        for a in actions_of_type(harness.offer_call(1) + harness.offer_call(2), api.SetUp)
+    ]
     assert all(a.exchange != exchange_id(1) for a in sent)
 
 
 def test_rule_3_missing_from_a_full_list_means_gone() -> None:
     harness = ControllerHarness()
     harness.send_event(api.Discovery(api.ListMode.FULL, [api.Entry(exchange_id(c), c) for c in (0, 2, 3)]))
-    assert actions_of_type(harness.offer(1), api.Refuse)
+    assert actions_of_type(harness.offer_call(1), api.Refuse)
 
 
 def test_rule_4_a_cold_exchange_gets_our_share_at_most() -> None:
@@ -195,19 +201,19 @@
     for _ in range(20):  # a usual rate of 4 calls a second to each
         for cell in (1, 2, 3):
             for _ in range(4):
-                harness.offer(cell)
-                harness.stands(cell)
-                harness.circuits(cell, 20)
+                harness.offer_call(cell)
+                harness.call_stands(cell)
+                harness.set_circuits(cell, 20)
         harness.run(SECOND_US)
     harness.send_event(
         api.Discovery(api.ListMode.DELTA, [api.Entry(exchange_id(1), 1, launched_us=harness.now)])
     )
     harness.actions.clear()
     for _ in range(20):
-        harness.circuits(1, 20)
+        harness.set_circuits(1, 20)
         for _ in range(5):
-            harness.offer(1)
-            harness.stands()
+            harness.offer_call(1)
+            harness.call_stands()
         harness.run(100_000)
     share = 2.0 * 0.3 * 4 * 2  # multiple x coldest part x our usual rate x window
     sent = [a for a in actions_of_type(harness.actions, api.SetUp) if a.exchange == exchange_id(1)]
@@ -220,7 +226,7 @@
         api.Discovery(api.ListMode.DELTA, [api.Entry(exchange_id(1), 1, launched_us=START_US)])
     )
     for _ in range(30):
-        harness.offer(1)
+        harness.offer_call(1)
     assert len(actions_of_type(harness.actions, api.SetUp)) == 1
 
 
@@ -232,10 +238,10 @@
     harness = ControllerHarness(
         classes=[api.ClassOfCall(aim_us=SECOND_US, deadline_us=9 * SECOND_US, effect=effect)]
     )
-    harness.circuits(1, 0)
-    (sent,) = actions_of_type(harness.offer(1), api.SetUp)
+    harness.set_circuits(1, 0)
+    (sent,) = actions_of_type(harness.offer_call(1), api.SetUp)
     harness.now += 100_000
-    actions = harness.end(outcome, sent.exchange[2]) + harness.run(5 * SECOND_US)
+    actions = harness.end_attempt(outcome, sent.exchange[2]) + harness.run(5 * SECOND_US)
     assert len(actions_of_type(actions, api.Fail)) == 1
     assert not actions_of_type(actions, api.SetUp) and not actions_of_type(actions, api.Refuse)
 
@@ -245,36 +251,36 @@
 
 def test_breaker_opens_on_silence_and_one_trial_call_closes_it() -> None:
     harness = ControllerHarness()
-    harness.offer(1)
+    harness.offer_call(1)
     harness.run(1_500_000)
-    harness.end(Outcome.TIMEOUT)
+    harness.end_attempt(Outcome.TIMEOUT)
     assert harness.controller.exchanges[exchange_id(1)].open
     harness.run(SECOND_US)
     harness.controller.exchanges[exchange_id(1)].f = 1.0
-    trial = harness.offer(1)
+    trial = harness.offer_call(1)
     assert actions_of_type(trial, api.SetUp)
-    assert actions_of_type(harness.offer(1), api.Refuse)
-    harness.stands(call=2)
+    assert actions_of_type(harness.offer_call(1), api.Refuse)
+    harness.call_stands(call=2)
     assert not harness.controller.exchanges[exchange_id(1)].open and actions_of_type(
-        harness.offer(1), api.SetUp
+        harness.offer_call(1), api.SetUp
     )
 
 
 def test_breaker_opens_while_calls_still_wait() -> None:
     harness = ControllerHarness()
-    harness.offer(1, left=9 * SECOND_US)
+    harness.offer_call(1, left=9 * SECOND_US)
     harness.run(3 * SECOND_US)
     assert harness.controller.exchanges[exchange_id(1)].open
 
 
 def test_breaker_stays_closed_while_others_are_answered() -> None:
     harness = ControllerHarness()
-    harness.offer(1)
+    harness.offer_call(1)
     harness.run(500_000)
-    harness.offer(1)
-    harness.stands(call=2)
+    harness.offer_call(1)
+    harness.call_stands(call=2)
     harness.run(SECOND_US)
-    harness.end(Outcome.TIMEOUT, call=1)
+    harness.end_attempt(Outcome.TIMEOUT, call=1)
     assert not harness.controller.exchanges[exchange_id(1)].open
 
 
@@ -301,8 +307,8 @@
     harness = ControllerHarness()
     for _ in range(6):
         for cell, took in ((1, 1_400_000), (2, 50_000), (3, 50_000)):
-            harness.offer(cell)
-            harness.stands(cell, took=took)
+            harness.offer_call(cell)
+            harness.call_stands(cell, took=took)
     harness.run(SECOND_US)
     assert (
         harness.controller.exchanges[exchange_id(1)].f < 1.0
@@ -312,38 +318,38 @@
 
 def test_trunk_reservation_keeps_the_last_circuits_for_direct_calls() -> None:
     harness = ControllerHarness()
-    harness.circuits(1, 0)
+    harness.set_circuits(1, 0)
     for cell in (2, 3):
-        harness.circuits(cell, 5)
-    assert actions_of_type(harness.offer(1), api.Refuse)
-    assert actions_of_type(harness.offer(2), api.SetUp)
+        harness.set_circuits(cell, 5)
+    assert actions_of_type(harness.offer_call(1), api.Refuse)
+    assert actions_of_type(harness.offer_call(2), api.SetUp)
 
 
 def test_no_overflow_towards_a_pressed_processor() -> None:
     harness = ControllerHarness()
-    harness.circuits(1, 0)
+    harness.set_circuits(1, 0)
     harness.controller.exchanges[exchange_id(1)].f = 0.5
-    assert actions_of_type(harness.offer(1), api.Refuse)
+    assert actions_of_type(harness.offer_call(1), api.Refuse)
 
 
 def test_crankback_tries_another_tandem_within_the_attempts() -> None:
     harness = ControllerHarness(attempts=2)
-    harness.circuits(1, 0)
-    (one,) = actions_of_type(harness.offer(1), api.SetUp)
+    harness.set_circuits(1, 0)
+    (one,) = actions_of_type(harness.offer_call(1), api.SetUp)
     (two,) = actions_of_type(
-        harness.end(Outcome.REJECTED, one.exchange[2], cause=Cause.TURNED_BACK), api.SetUp
+        harness.end_attempt(Outcome.REJECTED, one.exchange[2], cause=Cause.TURNED_BACK), api.SetUp
     )
     assert two.exchange != one.exchange
-    last = harness.end(Outcome.REJECTED, two.exchange[2], attempt=1, cause=Cause.TURNED_BACK)
+    last = harness.end_attempt(Outcome.REJECTED, two.exchange[2], attempt=1, cause=Cause.TURNED_BACK)
     assert actions_of_type(last, api.Refuse)
     assert not actions_of_type(last, api.SetUp)
 
 
 def test_a_full_processor_beyond_is_not_tried_again() -> None:
     harness = ControllerHarness()
-    harness.circuits(1, 0)
-    (one,) = actions_of_type(harness.offer(1), api.SetUp)
-    back = harness.end(Outcome.REJECTED, one.exchange[2], cause=Cause.TURNED_BACK, beyond_full=True)
+    harness.set_circuits(1, 0)
+    (one,) = actions_of_type(harness.offer_call(1), api.SetUp)
+    back = harness.end_attempt(Outcome.REJECTED, one.exchange[2], cause=Cause.TURNED_BACK, beyond_full=True)
     assert actions_of_type(back, api.Refuse)
 
 
@@ -353,11 +359,11 @@
     taken = {0: 0, 1: 0}
     for index in range(400):
         kind = index % 2
-        harness.circuits(1, 20)
+        harness.set_circuits(1, 20)
         target.f = 0.5
-        if actions_of_type(harness.offer(1, call_class=kind), api.SetUp):
+        if actions_of_type(harness.offer_call(1, call_class=kind), api.SetUp):
             taken[kind] += 1
-            harness.stands()
+            harness.call_stands()
     assert taken[1] > 190 and taken[0] < 20
 
 
@@ -366,29 +372,29 @@
     target = harness.controller.exchanges[exchange_id(1)]
     taken = {True: 0, False: 0}
     for index in range(200):
-        harness.circuits(1, 20)
+        harness.set_circuits(1, 20)
         target.f = 0.5
-        if actions_of_type(harness.offer(1, redialled=index % 2 == 0), api.SetUp):
+        if actions_of_type(harness.offer_call(1, redialled=index % 2 == 0), api.SetUp):
             taken[index % 2 == 0] += 1
-            harness.stands()
+            harness.call_stands()
     assert taken[False] > 4 * taken[True]
 
 
 def test_numbers_found_engaged_are_remembered_for_a_bounded_time_and_number() -> None:
     harness = ControllerHarness()
     for number in range(100, 400):
-        harness.circuits(1, 20)
-        harness.offer(1, number=number)
-        harness.end(Outcome.ERROR, cause=Cause.LINES_ENGAGED)
+        harness.set_circuits(1, 20)
+        harness.offer_call(1, number=number)
+        harness.end_attempt(Outcome.ERROR, cause=Cause.LINES_ENGAGED)
     assert len(harness.controller.engaged) == brain.ENGAGED_KEPT
     harness.run(brain.ENGAGED_US)
-    harness.circuits(1, 0)
-    assert actions_of_type(harness.offer(1, number=399), api.SetUp)
+    harness.set_circuits(1, 0)
+    assert actions_of_type(harness.offer_call(1, number=399), api.SetUp)
 
 
 def test_attempts_end_with_the_aim() -> None:
     harness = ControllerHarness()
-    (sent,) = actions_of_type(harness.offer(1), api.SetUp)
+    (sent,) = actions_of_type(harness.offer_call(1), api.SetUp)
     assert sent.limit_us == 1_500_000
 
 
@@ -398,14 +404,14 @@
 def test_pools_take_second_choices_of_the_class_only() -> None:
     kind = api.ClassOfCall(aim_us=SECOND_US, deadline_us=9 * SECOND_US, pools=(1, 3))
     harness = ControllerHarness(pools=True, home=-1, classes=[kind])
-    harness.circuits(1, 0)
-    assert [a.exchange for a in actions_of_type(harness.offer(1), api.SetUp)] == [exchange_id(3)]
+    harness.set_circuits(1, 0)
+    assert [a.exchange for a in actions_of_type(harness.offer_call(1), api.SetUp)] == [exchange_id(3)]
 
 
 def test_wide_calls_need_that_many_circuits() -> None:
     harness = ControllerHarness()
-    harness.circuits(1, 3)
-    assert actions_of_type(harness.offer(1, width=4.0), api.SetUp)[0].exchange != exchange_id(1)
+    harness.set_circuits(1, 3)
+    assert actions_of_type(harness.offer_call(1, width=4.0), api.SetUp)[0].exchange != exchange_id(1)
 
 
 def test_discovery_on_request_is_asked_for_again_until_it_answers() -> None:
@@ -425,7 +431,7 @@
 
 def test_no_cancel_where_it_is_not_allowed() -> None:
     harness = ControllerHarness(may_cancel=False)
-    harness.offer(1, left=SECOND_US)
+    harness.offer_call(1, left=SECOND_US)
     harness.run(2 * SECOND_US)
     assert actions_of_type(harness.actions, api.Fail) and not actions_of_type(harness.actions, api.Cancel)
 
@@ -435,22 +441,22 @@
     harness.send_event(api.PeerReport(77, 0.0, 0))
     harness.send_event(api.TimerDue(999_999))
     harness.send_event(api.CallStands(77, 0, b"??????", 5))
-    harness.end(Outcome.OK, call=77, final=True)
+    harness.end_attempt(Outcome.OK, call=77, final=True)
     harness.send_event(api.LoadSeen(b"??????", Outcome.OK, 0, api.Load(free_circuits=3)))
     harness.send_event(api.Discovery(api.ListMode.FAILED, []))
-    assert actions_of_type(harness.offer(9), api.Refuse)
-    assert actions_of_type(harness.offer(0), api.Refuse)
-    assert actions_of_type(harness.offer(1, left=0), api.Fail)
-    assert actions_of_type(harness.offer(1, call_class=9), api.Refuse)
-    assert actions_of_type(harness.offer(1), api.SetUp)
+    assert actions_of_type(harness.offer_call(9), api.Refuse)
+    assert actions_of_type(harness.offer_call(0), api.Refuse)
+    assert actions_of_type(harness.offer_call(1, left=0), api.Fail)
+    assert actions_of_type(harness.offer_call(1, call_class=9), api.Refuse)
+    assert actions_of_type(harness.offer_call(1), api.SetUp)
 
 
 def test_state_is_bounded() -> None:
     harness = ControllerHarness()
     for number in range(3000):
-        harness.circuits(1, 20)
-        harness.offer(1, number=number)
-        harness.stands()
+        harness.set_circuits(1, 20)
+        harness.offer_call(1, number=number)
+        harness.call_stands()
         harness.run(50_000)
     state = harness.controller
     assert not state.calls and len(state.timers) < 70 and not state.exchanges[exchange_id(1)].waiting
@@ -465,35 +471,35 @@
 
 def test_no_overflow_for_a_number_lately_engaged() -> None:
     harness = ControllerHarness()
-    harness.offer(1, number=7)
-    harness.end(Outcome.ERROR, cause=Cause.LINES_ENGAGED)
+    harness.offer_call(1, number=7)
+    harness.end_attempt(Outcome.ERROR, cause=Cause.LINES_ENGAGED)
     harness.run(SECOND_US)
-    harness.circuits(1, 0)
-    assert actions_of_type(harness.offer(1, number=7), api.Refuse)
-    assert actions_of_type(harness.offer(1, number=8), api.SetUp)
+    harness.set_circuits(1, 0)
+    assert actions_of_type(harness.offer_call(1, number=7), api.Refuse)
+    assert actions_of_type(harness.offer_call(1, number=8), api.SetUp)
 
 
 def test_redialled_calls_leave_the_last_circuits_to_first_tries() -> None:
     harness = ControllerHarness(cells=2)
-    harness.circuits(1, 2)
-    assert actions_of_type(harness.offer(1, redialled=True), api.Refuse)
-    assert actions_of_type(harness.offer(1), api.SetUp)
+    harness.set_circuits(1, 2)
+    assert actions_of_type(harness.offer_call(1, redialled=True), api.Refuse)
+    assert actions_of_type(harness.offer_call(1), api.SetUp)
 
 
 def test_an_exchange_found_unreachable_comes_back_slowly() -> None:
     harness = ControllerHarness()
-    harness.offer(1)
-    harness.end(Outcome.UNREACHABLE)
+    harness.offer_call(1)
+    harness.end_attempt(Outcome.UNREACHABLE)
     harness.run(3 * SECOND_US)
-    harness.offer(1)
-    harness.stands()
+    harness.offer_call(1)
+    harness.call_stands()
     harness.actions.clear()
     for _ in range(10):
-        harness.circuits(1, 20)
-        harness.offer(1)
+        harness.set_circuits(1, 20)
+        harness.offer_call(1)
     assert not actions_of_type(harness.actions, api.SetUp)
     harness.run(10 * SECOND_US)
-    assert actions_of_type(harness.offer(1), api.SetUp)
+    assert actions_of_type(harness.offer_call(1), api.SetUp)
 
 
 @pytest.mark.parametrize("value", [-1.0, float("nan"), float("inf"), 1e30])
@@ -517,23 +523,23 @@
         api.Discovery(api.ListMode.DELTA, [api.Entry(exchange_id(1), 1, launched_us=START_US)])
     )
     for _ in range(50):
-        harness.offer(1)
-        harness.stands()
+        harness.offer_call(1)
+        harness.call_stands()
         harness.run(100_000)
     # 2 x 0.3 x 10 a second / 50 x 2 s is a quarter of a call.
     assert len(actions_of_type(harness.actions, api.SetUp)) == 1
     harness.run(6 * SECOND_US)  # warm by now
-    assert actions_of_type(harness.offer(1), api.SetUp)
+    assert actions_of_type(harness.offer_call(1), api.SetUp)
 
 
 def test_rule_4_sends_before_the_news_of_a_start_count() -> None:
     harness = ControllerHarness()
-    harness.offer(1)
-    harness.stands()
+    harness.offer_call(1)
+    harness.call_stands()
     harness.send_event(
         api.Discovery(api.ListMode.DELTA, [api.Entry(exchange_id(1), 1, launched_us=START_US)])
     )
-    assert actions_of_type(harness.offer(1), api.Refuse)
+    assert actions_of_type(harness.offer_call(1), api.Refuse)
 
 
 # What agents tell each other.
@@ -541,25 +547,25 @@
 
 def test_overflow_goes_only_where_a_tandem_told_of_room() -> None:
     harness = ControllerHarness(may_message=True)
-    harness.circuits(1, 0)
+    harness.set_circuits(1, 0)
     harness.send_event(api.PeerReport(2, 1.0, 0b1000))  # circuits to 3 only
     for _ in range(10):
-        (sent,) = actions_of_type(harness.offer(1), api.SetUp)
+        (sent,) = actions_of_type(harness.offer_call(1), api.SetUp)
         assert sent.exchange == exchange_id(3)
-        harness.stands(3)
-        harness.circuits(3, 20)
+        harness.call_stands(3)
+        harness.set_circuits(3, 20)
     harness.send_event(api.PeerReport(3, 1.0, 0))
-    assert actions_of_type(harness.offer(1), api.Refuse)
+    assert actions_of_type(harness.offer_call(1), api.Refuse)
     harness.send_event(api.PeerReport(2, 1.0, 0b10))
-    assert actions_of_type(harness.offer(1), api.SetUp)[0].exchange == exchange_id(2)
+    assert actions_of_type(harness.offer_call(1), api.SetUp)[0].exchange == exchange_id(2)
 
 
 def test_a_told_fraction_holds_back_calls_and_overflow_and_fades_without_news() -> None:
     harness = ControllerHarness(may_message=True)
     harness.send_event(api.PeerReport(1, 0.0, 0))
-    assert sum(len(actions_of_type(harness.offer(1), api.SetUp)) for _ in range(100)) < 30
-    harness.circuits(2, 0)
-    assert all(a.exchange != exchange_id(1) for a in actions_of_type(harness.offer(2), api.SetUp))
+    assert sum(len(actions_of_type(harness.offer_call(1), api.SetUp)) for _ in range(100)) < 30
+    harness.set_circuits(2, 0)
+    assert all(a.exchange != exchange_id(1) for a in actions_of_type(harness.offer_call(2), api.SetUp))
     harness.run(120 * SECOND_US)
     assert harness.controller.exchanges[exchange_id(1)].told == 1.0
 
@@ -568,9 +574,9 @@
     harness = ControllerHarness(may_message=True)
     for took in [20_000] * 6 + [900_000] * 24:
         for cell in (1, 2, 3):
-            if actions_of_type(harness.offer(cell), api.SetUp):
-                harness.stands(cell, took=took)
-            harness.circuits(cell, 20)
+            if actions_of_type(harness.offer_call(cell), api.SetUp):
+                harness.call_stands(cell, took=took)
+            harness.set_circuits(cell, 20)
         harness.run(500_000)
     assert actions_of_type(harness.actions, api.PeerReport)[-1].accept < 0.5
     assert actions_of_type(harness.actions, api.PeerReport)[-1].cell == 0
@@ -580,7 +586,7 @@
     harness = ControllerHarness(may_message=True)
     for _ in range(4):
         for cell in (1, 2, 3):
-            harness.offer(cell)
+            harness.offer_call(cell)
         harness.run(500_000)
     assert actions_of_type(harness.actions, api.PeerReport)[-1].accept < 0.8
 
@@ -589,9 +595,9 @@
     harness = ControllerHarness(may_message=True)
     for _ in range(20):
         for cell, took in ((1, 1_400_000), (2, 30_000), (3, 30_000)):
-            harness.offer(cell)
-            harness.stands(cell, took=took)
-            harness.circuits(cell, 20)
+            harness.offer_call(cell)
+            harness.call_stands(cell, took=took)
+            harness.set_circuits(cell, 20)
         harness.run(500_000)
     assert all(a.accept == 1.0 for a in actions_of_type(harness.actions, api.PeerReport))
 
@@ -614,7 +620,7 @@
         harness.actions.clear()
         for _ in range(8):
             for cell in range(1, 60):
-                harness.offer(cell)
+                harness.offer_call(cell)
             for cell in range(heard):
                 harness.send_event(api.PeerReport(cell % 99 + 1, 0.5, 0))
             harness.run(SECOND_US)
@@ -626,17 +632,17 @@
     harness = ControllerHarness(may_message=True)
     for _ in range(6):
         for cell in (1, 2, 3):
-            if actions_of_type(harness.offer(cell), api.SetUp):
-                harness.end(Outcome.REJECTED, cell, cause=Cause.PROCESSOR_FULL)
+            if actions_of_type(harness.offer_call(cell), api.SetUp):
+                harness.end_attempt(Outcome.REJECTED, cell, cause=Cause.PROCESSOR_FULL)
         harness.run(500_000)
     assert min(a.accept for a in actions_of_type(harness.actions, api.PeerReport)) < 0.6
     # Full from one, while calls to the others stand: the far one's.
     other = ControllerHarness(may_message=True)
     for _ in range(6):
-        if actions_of_type(other.offer(1), api.SetUp):
-            other.end(Outcome.REJECTED, 1, cause=Cause.PROCESSOR_FULL)
-        other.offer(2)
-        other.stands(2)
+        if actions_of_type(other.offer_call(1), api.SetUp):
+            other.end_attempt(Outcome.REJECTED, 1, cause=Cause.PROCESSOR_FULL)
+        other.offer_call(2)
+        other.call_stands(2)
         other.run(500_000)
     assert other.controller.told == 1.0
 
@@ -644,9 +650,9 @@
 def test_redialled_calls_take_no_second_group() -> None:
     harness = ControllerHarness()
     for free in (0.0, 1.0):  # none, and none beyond the reservation
-        harness.circuits(1, free)
-        assert actions_of_type(harness.offer(1, redialled=True), api.Refuse)
-    assert actions_of_type(harness.offer(1), api.SetUp)
+        harness.set_circuits(1, free)
+        assert actions_of_type(harness.offer_call(1, redialled=True), api.Refuse)
+    assert actions_of_type(harness.offer_call(1), api.SetUp)
 
 
 def test_rule_4_a_cold_exchange_is_measured_by_what_it_could_take_and_says_it_can() -> None:
@@ -662,9 +668,9 @@
             harness.send_event(api.LoadSeen(exchange_id(1), Outcome.OK, 9, api.Load(can_take=said)))
         harness.actions.clear()
         for _ in range(60):
-            harness.circuits(1, 20)
-            if actions_of_type(harness.offer(1), api.SetUp):
-                harness.stands()
+            harness.set_circuits(1, 20)
+            if actions_of_type(harness.offer_call(1), api.SetUp):
+                harness.call_stands()
         sent[said] = len(actions_of_type(harness.actions, api.SetUp))
     share = 2.0 * 2 / 4  # multiple x window over agents
     assert sent[None] == share * 0.3 * 20  # the coldest share of what it could take before
@@ -679,14 +685,14 @@
         for cell in range(2, 60):
             harness.send_event(api.LoadSeen(exchange_id(cell), Outcome.OK, 9, api.Load(can_take=12.0)))
         harness.send_event(api.LoadSeen(exchange_id(1), Outcome.OK, 9, api.Load(can_take=12.0)))
-        harness.offer(1)
-        harness.stands()
+        harness.offer_call(1)
+        harness.call_stands()
         harness.send_event(
             api.Discovery(api.ListMode.DELTA, [api.Entry(exchange_id(1), 1, launched_us=harness.now)])
         )
         harness.actions.clear()
         for _ in range(18):
-            harness.offer(1)
+            harness.offer_call(1)
             harness.run(500_000)
         sent += len(actions_of_type(harness.actions, api.SetUp))
     assert 0 < sent <= 2.0 * 0.3 * 12 * 9  # multiple x coldest share x size over nine seconds
@@ -696,14 +702,14 @@
     harness = ControllerHarness()
     sent = 0
     for cell in (1, 2, 3) * 40:
-        harness.circuits(cell, 20)
-        sent += len(actions_of_type(harness.offer(cell), api.SetUp))
+        harness.set_circuits(cell, 20)
+        sent += len(actions_of_type(harness.offer_call(cell), api.SetUp))
     assert brain.BURST_LEAST <= sent < 60
     steady = ControllerHarness()  # as many calls, each standing before the next: no burst
     for cell in (1, 2, 3) * 40:
-        steady.circuits(cell, 20)
-        assert actions_of_type(steady.offer(cell), api.SetUp)
-        steady.stands(cell)
+        steady.set_circuits(cell, 20)
+        assert actions_of_type(steady.offer_call(cell), api.SetUp)
+        steady.call_stands(cell)
 
 
 # Bad input gets a safe decision.
@@ -711,8 +717,8 @@
 
 def test_a_group_of_size_0_is_never_sent_to_directly() -> None:
     harness = ControllerHarness(may_message=True)
-    harness.circuits(1, 0, 0)
-    (sent,) = actions_of_type(harness.offer(1), api.SetUp)
+    harness.set_circuits(1, 0, 0)
+    (sent,) = actions_of_type(harness.offer_call(1), api.SetUp)
     assert sent.exchange != exchange_id(1)
     harness.run(10 * SECOND_US)
     assert not actions_of_type(harness.actions, api.PeerReport)[-1].room & 0b10
@@ -721,24 +727,24 @@
 def test_lists_alike_in_all_attributes_are_followed() -> None:
     harness = ControllerHarness()
     harness.send_event(api.Discovery(api.ListMode.FULL, [api.Entry(exchange_id(c), 1) for c in range(4)]))
-    assert actions_of_type(harness.offer(1), api.SetUp)
-    assert actions_of_type(harness.offer(2), api.Refuse)
+    assert actions_of_type(harness.offer_call(1), api.SetUp)
+    assert actions_of_type(harness.offer_call(2), api.Refuse)
 
 
 def test_hours_of_service_leave_bounded_state_and_open_fractions() -> None:
     harness = ControllerHarness(may_message=True)
     for turn in range(400):
         for cell in (1, 2, 3):
-            harness.circuits(cell, 20)
-            harness.offer(cell, number=turn)
-            harness.stands(cell)
+            harness.set_circuits(cell, 20)
+            harness.offer_call(cell, number=turn)
+            harness.call_stands(cell)
         if turn % 10 == 0:
             harness.send_event(api.PeerReport(1, 0.2, 0b1100))
         harness.run(30 * SECOND_US)
     state = harness.controller
     assert not state.calls and len(state.timers) <= 2 and len(state.engaged) <= brain.ENGAGED_KEPT
     assert state.f == state.told == 1.0 and all(x.f == 1.0 for x in state.exchanges.values())
-    assert actions_of_type(harness.offer(2), api.SetUp)
+    assert actions_of_type(harness.offer_call(2), api.SetUp)
 
 
 @pytest.mark.parametrize(
@@ -748,7 +754,7 @@
     allowed: bool, transit: bool, advice: int
 ) -> None:
     harness = ControllerHarness(retry_after=allowed, max_retry_after_us=2 * SECOND_US)
-    (refused,) = actions_of_type(harness.offer(9, in_transit=transit), api.Refuse)
+    (refused,) = actions_of_type(harness.offer_call(9, in_transit=transit), api.Refuse)
     assert refused.retry_after_us == advice
 
 
@@ -768,13 +774,13 @@
     harness = ControllerHarness(
         classes=[api.ClassOfCall(**{"aim_us": SECOND_US, "deadline_us": 9 * SECOND_US} | changes)]
     )
-    harness.offer(1)
-    assert actions_of_type(harness.end(Outcome.ERROR), api.Fail)  # a lone error is not worth the work
-    actions, made = harness.offer(1), 0
+    harness.offer_call(1)
+    assert actions_of_type(harness.end_attempt(Outcome.ERROR), api.Fail)  # a lone error is not worth the work
+    actions, made = harness.offer_call(1), 0
     while actions_of_type(actions, api.SetUp):
         assert actions_of_type(actions, api.SetUp)[0].exchange == exchange_id(1)
         harness.now += 60_000
-        actions, made = harness.end(Outcome.ERROR, attempt=made, **ended), made + 1
+        actions, made = harness.end_attempt(Outcome.ERROR, attempt=made, **ended), made + 1
     assert made == sent and len(actions_of_type(actions, api.Fail)) == 1
 
 
@@ -783,11 +789,11 @@
     harness = ControllerHarness(classes=[api.ClassOfCall(aim_us=300_000, deadline_us=2 * SECOND_US)])
     refused = 0
     for at in range(200):
-        harness.circuits(1, 20)
-        refused += len(actions_of_type(harness.offer(1), api.Refuse))
+        harness.set_circuits(1, 20)
+        refused += len(actions_of_type(harness.offer_call(1), api.Refuse))
         harness.run(20_000)
         if at % 10:
-            harness.stands(took=20_000)
+            harness.call_stands(took=20_000)
         elif at > 10:
-            harness.end(Outcome.TIMEOUT, call=harness.calls - 10)
+            harness.end_attempt(Outcome.TIMEOUT, call=harness.calls - 10)
     assert not refused
