--- a/tests/test_controller.py
+++ b/tests/test_controller.py
@@ -47,12 +47,14 @@
     (sent,) = actions_of_type(harness.offer_call(1), api.SetUp)
     tandem = harness.controller.exchanges[sent.exchange]
     harness.end_attempt(Outcome.REJECTED, sent.exchange[2], cause=Cause.CRANKBACK)
-    assert tandem.weight == pytest.approx(controller.WEIGHT_DOWN)
+    assert tandem.tandem_weight == pytest.approx(controller.TANDEM_WEIGHT_FACTOR)
     harness.set_circuits(1, 0)
-    harness.controller.exchanges[exchange_id(5 - sent.exchange[2])].free = 0
+    harness.controller.exchanges[exchange_id(5 - sent.exchange[2])].free_circuits = 0
     harness.offer_call(1)
     harness.call_stands(sent.exchange[2])
-    assert tandem.weight == pytest.approx(controller.WEIGHT_DOWN + controller.WEIGHT_UP)
+    assert tandem.tandem_weight == pytest.approx(
+        controller.TANDEM_WEIGHT_FACTOR + controller.TANDEM_WEIGHT_INCREASE
+    )
 
 
 def test_transit_goes_to_its_destination_or_back() -> None:
@@ -469,7 +471,7 @@
         harness.run(50_000)
     state = harness.controller
     assert not state.calls and len(state.timers) < 70 and not state.exchanges[exchange_id(1)].pending
-    assert len(state.exchanges[exchange_id(1)].sends) < 60
+    assert len(state.exchanges[exchange_id(1)].recent_sends) < 60
 
 
 def code_lines(text: str) -> set[int]:
@@ -566,7 +568,7 @@
     harness.run(3 * SECOND_US)
     assert (
         harness.controller.exchanges[exchange_id(1)].accept_fraction == 1.0
-        and harness.controller.exchanges[exchange_id(1)].free == 20
+        and harness.controller.exchanges[exchange_id(1)].free_circuits == 20
     )
 
 
@@ -759,7 +761,7 @@
     for cell in (1, 2, 3) * 40:
         harness.set_circuits(cell, 20)
         sent += len(actions_of_type(harness.offer_call(cell), api.SetUp))
-    assert controller.BURST_LEAST <= sent < 60
+    assert controller.MIN_BURST <= sent < 60
     steady = ControllerHarness()  # as many calls, each standing before the next: no burst
     for cell in (1, 2, 3) * 40:
         steady.set_circuits(cell, 20)
