--- a/barleywheel/interface.py
+++ b/barleywheel/interface.py
@@ -1,7 +1,8 @@
 """Settings, events and actions of the decision module in ``barleywheel.controller``.
 
-Only data lives here. Times are whole microseconds. ``None`` always means "not known".
-An exchange id is opaque: it is compared and handed back, never taken apart.
+This module holds data types only. Times are whole microseconds. ``None`` means "not known", except for a
+limit or quota, where it means that there is none. An exchange id is opaque: it is compared and returned,
+never parsed. A cell is the number of an exchange in the mesh.
 """
 
 from __future__ import annotations
@@ -13,7 +14,7 @@
 
 
 class Effect(Enum):
-    """What a repeated set-up of a call of some class would do."""
+    """Effect of setting up a call a second time."""
 
     FREE = "free"
     GUARDED = "guarded"
@@ -21,7 +22,7 @@
 
 
 class Scope(Enum):
-    """Which exchanges recognise a repeat of a guarded call."""
+    """Which exchanges recognise a repeated set-up of a guarded call."""
 
     ALL = "all"
     ZONE = "zone"
@@ -29,7 +30,7 @@
 
 
 class ExchangeState(IntEnum):
-    """State of an exchange in discovery."""
+    """State of an exchange as discovery lists it."""
 
     READY = 0
     DRAINING = 1
@@ -37,7 +38,7 @@
 
 
 class ListMode(IntEnum):
-    """How a discovery event relates to the list held so far."""
+    """How the entries of a discovery event relate to the known list of exchanges."""
 
     DELTA = 0
     FULL = 1
@@ -59,7 +60,7 @@
 
 
 class Cause(IntEnum):
-    """Release cause that came with an outcome."""
+    """Release cause reported with an outcome."""
 
     NONE = 0
     NO_CIRCUIT = 1
@@ -70,23 +71,23 @@
 
 @dataclass(slots=True)
 class CallClass:
-    """One class of call."""
+    """A class of calls."""
 
-    aim_us: int
-    deadline_us: int
+    aim_us: int  # a call should be established within this time
+    deadline_us: int  # hard limit for the final answer
     worth: float = 1.0
     late_share: float = 0.0
     effect: Effect = Effect.FREE
     scope: Scope = Scope.ALL
     window_us: int = 0
     mean_hold_us: int | None = None
-    width: float = 1.0
-    pools: tuple[int, ...] = ()
+    width: float = 1.0  # circuits that a call occupies
+    pools: tuple[int, ...] = ()  # second-choice cells of the class, where Settings.pools is set
 
 
 @dataclass(slots=True)
 class Tenant:
-    """A customer sharing the service; the quota is summed over all controllers."""
+    """A customer of the shared service; the quota holds for all controllers together."""
 
     quota_per_s: float | None = None
     share: float | None = None
@@ -94,38 +95,38 @@
 
 @dataclass(slots=True)
 class Settings:
-    """What a controller is told at its start."""
+    """Settings that a controller gets at its start."""
 
     classes: list[CallClass]
     controller_number: int = 0
-    controllers: int = 1
-    home_cell: int = -1
-    pools: bool = False
+    controllers: int = 1  # number of controllers in the mesh
+    home_cell: int = -1  # cell of our own exchange
+    pools: bool = False  # overflow goes only through the second-choice cells of the class
     tenants: list[Tenant] = field(default_factory=list)
     over_share_worth: float = 1.0
-    guard_us: int = 0
-    repeat_us: int = 0
+    guard_us: int = 0  # guard time before a call is tried again after a broken attempt
+    repeat_us: int = 0  # an unanswered set-up is repeated after this time; 0: never
     reports_in_answers: bool = True
     route_advice: bool = False
-    max_attempts: int | None = None
+    max_attempts: int | None = None  # per call
     may_cancel: bool = False
     may_probe: bool = False
-    may_message: bool = False
-    retry_after: bool = False
+    may_message: bool = False  # to the other controllers
+    retry_after: bool = False  # callers accept a retry-after time in a refusal
     max_retry_after_us: int = 0
     discovery_on_request: bool = False
-    ask_within_us: int = 10_000_000
-    cold_from: float = 1.0
-    cold_us: int = 0
-    tip_multiple: float = 1.0
-    fall_us: int = 1_000_000
-    tick_us: int = 1_000
+    ask_within_us: int = 10_000_000  # limit for asking again after discovery has failed
+    cold_from: float = 1.0  # share of its capacity that an exchange has right after its start
+    cold_us: int = 0  # time from the start to full capacity
+    tip_multiple: float = 1.0  # overload that a cold exchange withstands, as a multiple of its capacity
+    fall_us: int = 1_000_000  # window over which that overload is measured
+    tick_us: int = 1_000  # interval of the event batches
     callers_mark_redials: bool = False
 
 
 @dataclass(slots=True)
 class ExchangeEntry:
-    """One exchange as discovery describes it; ``launched_us`` 0 means long ago."""
+    """One exchange as discovery lists it; ``launched_us`` is 0 if it started long ago."""
 
     exchange: ExchangeId
     cell: int
@@ -138,7 +139,7 @@
 
 @dataclass(slots=True)
 class Load:
-    """Figures of a load report; the first two are exact, the others late and noisy."""
+    """Figures of a load report. The first two are exact; the others are delayed and noisy."""
 
     free_circuits: float | None = None
     group_size: float | None = None
@@ -146,13 +147,13 @@
     queue: float | None = None
     in_progress: float | None = None
     wait_ms: float | None = None
-    can_take: float | None = None
+    can_take: float | None = None  # set-ups a second that the processor can accept
     hold_back: float | None = None
 
 
 @dataclass(slots=True)
 class Discovery:
-    """News of the list of exchanges."""
+    """A change of the list of exchanges, or the whole list."""
 
     mode: ListMode
     entries: list[ExchangeEntry]
@@ -160,7 +161,7 @@
 
 @dataclass(slots=True)
 class CallOffered:
-    """A call to be decided: it entered here, or is in transit from ``source_cell``."""
+    """A new call to decide: it entered the mesh here, or is in transit from ``source_cell``."""
 
     call: int
     time_left_us: int
@@ -178,7 +179,7 @@
 
 @dataclass(slots=True)
 class CallStands:
-    """The call is set up; no duty is left."""
+    """The call is established; nothing remains to be decided."""
 
     call: int
     attempt: int
@@ -188,7 +189,7 @@
 
 @dataclass(slots=True)
 class AttemptEnded:
-    """An attempt ended; ``final`` says that the call has its answer."""
+    """An attempt ended; ``final`` is set if the call already has its final answer."""
 
     call: int
     attempt: int
@@ -204,21 +205,21 @@
 
 @dataclass(slots=True)
 class CallerGone:
-    """The caller left, or its time ran out."""
+    """The caller hung up, or its time ran out."""
 
     call: int
 
 
 @dataclass(slots=True)
 class TimerDue:
-    """A timer asked for with ``SetTimer`` came due."""
+    """A timer set with ``SetTimer`` has expired."""
 
     token: int
 
 
 @dataclass(slots=True)
 class LoadSeen:
-    """Answer to a probe, or unasked news of the own group's circuits."""
+    """Answer to a probe, or an unsolicited report of the circuits of our group."""
 
     exchange: ExchangeId
     outcome: Outcome
@@ -228,11 +229,11 @@
 
 @dataclass(slots=True)
 class PeerReport:
-    """What one controller tells all others of its exchange, and hears from them; may be lost or late."""
+    """Report of a controller on its exchange to all other controllers; may be lost or delayed."""
 
     cell: int
-    accept_fraction: float  # fraction of set-ups that its processor should be sent, 0 to 1
-    reachable_cells: int  # bit c is set where a call in transit finds circuits towards exchange c
+    accept_fraction: float  # of set-ups that others should send to its processor, 0 to 1
+    reachable_cells: int  # bit c is set if a call in transit finds circuits towards cell c
 
 
 Event = Discovery | CallOffered | CallStands | AttemptEnded | CallerGone | TimerDue | LoadSeen | PeerReport
@@ -240,7 +241,7 @@
 
 @dataclass(slots=True)
 class SetUp:
-    """Send the call to an exchange; ``limit_us`` 0 waits as long as the caller does."""
+    """Send the call to an exchange; with ``limit_us`` 0 the attempt lasts as long as the caller waits."""
 
     call: int
     exchange: ExchangeId
@@ -249,7 +250,7 @@
 
 @dataclass(slots=True)
 class Refuse:
-    """Final answer: turned away (transit: turned back)."""
+    """Final answer: the call is refused; in transit it is handed back to the previous exchange."""
 
     call: int
     retry_after_us: int = 0
@@ -257,14 +258,14 @@
 
 @dataclass(slots=True)
 class Fail:
-    """Final answer: given up."""
+    """Final answer: the set-up of the call has failed."""
 
     call: int
 
 
 @dataclass(slots=True)
 class Cancel:
-    """Stop waiting for an attempt."""
+    """Cancel an attempt in progress."""
 
     call: int
     attempt: int
@@ -272,7 +273,7 @@
 
 @dataclass(slots=True)
 class SetTimer:
-    """Ask for ``TimerDue(token)`` at ``due_us``."""
+    """Request ``TimerDue(token)`` at ``due_us``."""
 
     token: int
     due_us: int
@@ -280,26 +281,26 @@
 
 @dataclass(slots=True)
 class Probe:
-    """Ask an exchange for its load."""
+    """Request the load figures of an exchange."""
 
     exchange: ExchangeId
 
 
 @dataclass(slots=True)
 class Log:
-    """A line for the operators."""
+    """A log message for the operators."""
 
     text: str
 
 
 @dataclass(slots=True)
 class Subscribe:
-    """Ask discovery for changes from now on."""
+    """Subscribe to changes in discovery."""
 
 
 @dataclass(slots=True)
 class FetchList:
-    """Ask discovery once for the whole list."""
+    """Request the complete list from discovery once."""
 
 
 Action = SetUp | Refuse | Fail | Cancel | SetTimer | Probe | PeerReport | Log | Subscribe | FetchList
