--- a/tests/controller_harness.py
+++ b/tests/controller_harness.py
@@ -1,4 +1,4 @@
-"""A small hand-driven world around one controller."""
+"""One controller that is driven by events made by hand."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 START_US = 100_000_000
 SECOND_US = 1_000_000
-A = TypeVar("A")
+ActionT = TypeVar("ActionT")
 
 
 def exchange_id(cell: int) -> api.ExchangeId:
@@ -58,34 +58,34 @@
         self.timers += [(a.due_us, a.token) for a in actions if isinstance(a, api.SetTimer)]
         return actions
 
-    def run(self, us: int) -> list[api.Action]:
-        """Let time pass, timers included."""
-        end, out = self.now + us, []
-        while self.timers and min(self.timers)[0] <= end:
+    def run(self, duration_us: int) -> list[api.Action]:
+        """Advance the clock and deliver the timers that expire; returns the actions."""
+        end_us, actions = self.now + duration_us, []
+        while self.timers and min(self.timers)[0] <= end_us:
             due = min(self.timers)
             self.timers.remove(due)
             self.now = max(self.now, due[0])
-            out += self.send_event(api.TimerDue(due[1]))
-        self.now = end
-        return out
+            actions += self.send_event(api.TimerDue(due[1]))
+        self.now = end_us
+        return actions
 
     def set_circuits(self, cell: int, free: float, size: float = 20) -> list[api.Action]:
         load = api.Load(free_circuits=free, group_size=size)
         return self.send_event(api.LoadSeen(exchange_id(cell), api.Outcome.OK, 0, load))
 
-    def offer_call(self, to: int = 1, left: int = 3 * SECOND_US, **more: Any) -> list[api.Action]:
+    def offer_call(self, cell: int = 1, time_left_us: int = 3 * SECOND_US, **fields: Any) -> list[api.Action]:
         self.calls += 1
-        return self.send_event(api.CallOffered(self.calls, left, to, **more))
+        return self.send_event(api.CallOffered(self.calls, time_left_us, cell, **fields))
 
     def end_attempt(
-        self, outcome: api.Outcome, cell: int = 1, call: int = 0, attempt: int = 0, **more: Any
+        self, outcome: api.Outcome, cell: int = 1, call: int = 0, attempt: int = 0, **fields: Any
     ) -> list[api.Action]:
         call = call or self.calls
-        return self.send_event(api.AttemptEnded(call, attempt, exchange_id(cell), outcome, **more))
+        return self.send_event(api.AttemptEnded(call, attempt, exchange_id(cell), outcome, **fields))
 
-    def call_stands(self, cell: int = 1, call: int = 0, took: int = 50_000) -> list[api.Action]:
-        return self.send_event(api.CallStands(call or self.calls, 0, exchange_id(cell), took))
+    def establish_call(self, cell: int = 1, call: int = 0, elapsed_us: int = 50_000) -> list[api.Action]:
+        return self.send_event(api.CallStands(call or self.calls, 0, exchange_id(cell), elapsed_us))
 
 
-def actions_of_type(actions: list[api.Action], kind: type[A]) -> list[A]:
+def actions_of_type(actions: list[api.Action], kind: type[ActionT]) -> list[ActionT]:
     return [action for action in actions if isinstance(action, kind)]
--- a/tests/test_controller.py
+++ b/tests/test_controller.py
@@ -1,4 +1,4 @@
-"""The ordinary path, the rules and the defences, without the bench."""
+"""Tests of the call controller with hand-made events: routing, the five rules, overload control, reports."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
 from tests.controller_harness import SECOND_US, START_US, ControllerHarness, actions_of_type, exchange_id
 
 
-def press(harness: ControllerHarness, cell: int = 1, epochs: int = 1) -> None:
-    """Let each of a few epochs end with set-ups refused by a full processor."""
+def overload(harness: ControllerHarness, cell: int = 1, epochs: int = 1) -> None:
+    """Let set-ups be refused by an overloaded processor during some epochs."""
     for _ in range(epochs):
         for _ in range(4):
             if actions_of_type(harness.offer_call(cell), api.SetUp):
@@ -26,10 +26,10 @@
         harness.run(SECOND_US)
 
 
-# Ordinary path.
+# Routing and admission.
 
 
-def test_direct_first() -> None:
+def test_the_direct_group_is_tried_first() -> None:
     harness = ControllerHarness()
     assert [a.exchange for a in actions_of_type(harness.offer_call(2), api.SetUp)] == [exchange_id(2)]
 
@@ -51,7 +51,7 @@
     harness.set_circuits(1, 0)
     harness.controller.exchanges[exchange_id(5 - sent.exchange[2])].free_circuits = 0
     harness.offer_call(1)
-    harness.call_stands(sent.exchange[2])
+    harness.establish_call(sent.exchange[2])
     assert tandem.tandem_weight == pytest.approx(
         controller.TANDEM_WEIGHT_FACTOR + controller.TANDEM_WEIGHT_INCREASE
     )
@@ -66,7 +66,7 @@
     assert actions_of_type(actions, api.Refuse) and not actions_of_type(actions, api.SetUp)
 
 
-def test_f_follows_reported_utilisation() -> None:
+def test_accept_fraction_follows_reported_utilisation() -> None:
     harness = ControllerHarness()
     for _ in range(3):
         harness.send_event(api.LoadSeen(exchange_id(1), Outcome.OK, 1000, api.Load(utilisation=0.99)))
@@ -75,9 +75,9 @@
     assert harness.controller.exchanges[exchange_id(2)].accept_fraction == 1.0
 
 
-def test_f_falls_on_full_processors_and_a_refused_draw_tries_no_route() -> None:
+def test_accept_fraction_falls_on_overload_and_a_call_not_admitted_tries_no_route() -> None:
     harness = ControllerHarness()
-    press(harness, epochs=6)
+    overload(harness, epochs=6)
     assert harness.controller.exchanges[exchange_id(1)].accept_fraction < 0.3
     refused = 0
     for _ in range(40):
@@ -89,18 +89,18 @@
     assert refused > 15
 
 
-def test_f_recovers_to_one() -> None:
+def test_accept_fraction_recovers_to_one() -> None:
     harness = ControllerHarness()
-    press(harness, epochs=6)
+    overload(harness, epochs=6)
     harness.run(12 * SECOND_US)
     assert harness.controller.exchanges[exchange_id(1)].accept_fraction == 1.0
 
 
 def test_own_occupancy_follows_the_set_up_delay() -> None:
     harness = ControllerHarness()
-    for took in [10_000] * 12 + [1_000_000] * 60:
+    for delay_us in [10_000] * 12 + [1_000_000] * 60:
         harness.offer_call(1)
-        harness.call_stands(took=took)
+        harness.establish_call(elapsed_us=delay_us)
         harness.set_circuits(1, 20)
     harness.run(3 * SECOND_US)
     assert harness.controller.accept_fraction < 1.0
@@ -113,12 +113,14 @@
     assert actions_of_type(harness.offer_call(1), api.SetUp)[0].exchange != exchange_id(1)
 
 
-# The five rules.
+# The five rules: one final answer per call before its deadline; never two attempts in progress; nothing new
+# to an exchange that is draining or gone; no overload of a cold exchange; no retry before the guard time
+# after a broken attempt.
 
 
-def test_rule_1_an_unanswered_call_fails_before_its_time_is_out() -> None:
+def test_an_unanswered_call_fails_before_its_deadline() -> None:
     harness = ControllerHarness()
-    harness.offer_call(1, left=SECOND_US)
+    harness.offer_call(1, time_left_us=SECOND_US)
     actions = harness.run(SECOND_US)
     assert [a.call for a in actions_of_type(actions, api.Fail)] == [1]
     assert actions_of_type(actions, api.Cancel)
@@ -126,65 +128,63 @@
     assert len([a for a in harness.actions if isinstance(a, api.Fail | api.Refuse)]) == 1
 
 
-def test_rule_1_transit_is_answered_in_time_too() -> None:
+def test_an_unanswered_transit_call_fails_before_its_deadline() -> None:
     harness = ControllerHarness()
-    harness.offer_call(1, left=SECOND_US, in_transit=True, source_cell=2)
+    harness.offer_call(1, time_left_us=SECOND_US, in_transit=True, source_cell=2)
     assert [a.call for a in actions_of_type(harness.run(SECOND_US), api.Fail)] == [1]
 
 
-def test_rule_1_nothing_is_sent_after_the_end() -> None:
+def test_nothing_is_sent_for_a_call_whose_caller_is_gone() -> None:
     harness = ControllerHarness()
     harness.offer_call(1)
     harness.send_event(api.CallerGone(1))
     harness.end_attempt(Outcome.TIMEOUT)
     harness.send_event(api.CallerGone(1))
     harness.run(5 * SECOND_US)
-    late = harness.actions[-20:]
+    later = harness.actions[-20:]
     assert (
         len(actions_of_type(harness.actions, api.SetUp)) == 1
-        and not actions_of_type(late, api.Fail)
+        and not actions_of_type(later, api.Fail)
         and not harness.controller.calls
     )
 
 
-def test_rule_1_late_events_do_not_send_past_the_deadline() -> None:
+def test_late_events_do_not_send_past_the_deadline() -> None:
     harness = ControllerHarness()
     harness.set_circuits(1, 0)
-    (sent,) = actions_of_type(harness.offer_call(1, left=SECOND_US), api.SetUp)
-    harness.now += 2 * SECOND_US  # the timer has not been delivered
+    (sent,) = actions_of_type(harness.offer_call(1, time_left_us=SECOND_US), api.SetUp)
+    harness.now += 2 * SECOND_US  # the deadline timer has not been delivered
     actions = harness.end_attempt(Outcome.REJECTED, sent.exchange[2], cause=Cause.CRANKBACK)
     assert actions_of_type(actions, api.Fail) and not actions_of_type(actions, api.SetUp)
 
 
-def test_rule_2_one_attempt_out() -> None:
+def test_a_call_never_has_two_attempts_in_progress() -> None:
     harness = ControllerHarness()
     rng = random.Random(5)
-    out: set[int] = set()
+    in_progress: set[int] = set()
     for _ in range(400):
         harness.set_circuits(1, rng.choice([0, 1, 20]))
         harness.offer_call(rng.choice([1, 2, 3]))
         for action in harness.actions:
             if isinstance(action, api.SetUp):
-                assert action.call not in out
-                out.add(action.call)
+                assert action.call not in in_progress
+                in_progress.add(action.call)
         harness.actions.clear()
-        for number in rng.sample(sorted(out), k=len(out) // 2):
+        for number in rng.sample(sorted(in_progress), k=len(in_progress) // 2):
             call = harness.controller.calls.get(number)
-            out.discard(number)
+            in_progress.discard(number)
             if call is None or call.exchange is None:
                 continue
-            kind = rng.choice([Outcome.REJECTED, Outcome.TIMEOUT, Outcome.NOT_SENT])
+            outcome = rng.choice([Outcome.REJECTED, Outcome.TIMEOUT, Outcome.NOT_SENT])
             harness.end_attempt(
-                kind, call.exchange.entry.cell, number, call.attempts - 1, cause=rng.choice(list(Cause))
+                outcome, call.exchange.entry.cell, number, call.attempts - 1, cause=rng.choice(list(Cause))
             )
         harness.run(rng.choice([0, 100_000]))
 
 
 @pytest.mark.parametrize("mode", [api.ListMode.DELTA, api.ListMode.FULL])
 @pytest.mark.parametrize("state", [api.ExchangeState.DRAINING, api.ExchangeState.GONE])
-def test_rule_3_nothing_new_to_a_draining_or_gone_exchange(
-    mode: api.ListMode, state: api.ExchangeState
-) -> None:
+def test_nothing_new_to_a_draining_or_gone_exchange(mode: api.ListMode, state: api.ExchangeState) -> None:
     harness = ControllerHarness()
     ready = [api.ExchangeEntry(exchange_id(c), c) for c in (0, 2, 3)] if mode is api.ListMode.FULL else []
     harness.send_event(api.Discovery(mode, [*ready, api.ExchangeEntry(exchange_id(1), 1, state)]))
@@ -197,7 +197,7 @@
     assert all(a.exchange != exchange_id(1) for a in sent)
 
 
-def test_rule_3_missing_from_a_full_list_means_gone() -> None:
+def test_an_exchange_missing_from_a_full_list_is_gone() -> None:
     harness = ControllerHarness()
     harness.send_event(
         api.Discovery(api.ListMode.FULL, [api.ExchangeEntry(exchange_id(c), c) for c in (0, 2, 3)])
@@ -205,13 +205,13 @@
     assert actions_of_type(harness.offer_call(1), api.Refuse)
 
 
-def test_rule_4_a_cold_exchange_gets_our_share_at_most() -> None:
+def test_a_cold_exchange_gets_at_most_our_share() -> None:
     harness = ControllerHarness(controllers=4)
-    for _ in range(20):  # a usual rate of 4 calls a second to each
+    for _ in range(20):  # a send rate of 4 calls a second to each exchange
         for cell in (1, 2, 3):
             for _ in range(4):
                 harness.offer_call(cell)
-                harness.call_stands(cell)
+                harness.establish_call(cell)
                 harness.set_circuits(cell, 20)
         harness.run(SECOND_US)
     harness.send_event(
@@ -222,14 +222,14 @@
         harness.set_circuits(1, 20)
         for _ in range(5):
             harness.offer_call(1)
-            harness.call_stands()
+            harness.establish_call()
         harness.run(100_000)
-    share = 2.0 * 0.3 * 4 * 2  # multiple x coldest part x our usual rate x window
+    share = 2.0 * 0.3 * 4 * 2  # tip_multiple x cold_from x send rate x window
     sent = [a for a in actions_of_type(harness.actions, api.SetUp) if a.exchange == exchange_id(1)]
     assert 2 <= len(sent) <= share + 1
 
 
-def test_rule_4_a_fresh_agent_sends_one_call_a_window() -> None:
+def test_a_controller_without_history_sends_a_cold_exchange_one_call_a_window() -> None:
     harness = ControllerHarness()
     harness.send_event(
         api.Discovery(api.ListMode.DELTA, [api.ExchangeEntry(exchange_id(1), 1, launched_us=START_US)])
@@ -241,9 +241,7 @@
 
 @pytest.mark.parametrize("outcome", [Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED, Outcome.ERROR])
 @pytest.mark.parametrize("effect", list(api.Effect))
-def test_rule_5_a_call_that_may_have_run_is_failed_and_never_sent_again(
-    outcome: Outcome, effect: api.Effect
-) -> None:
+def test_a_call_is_never_sent_again_after_a_broken_attempt(outcome: Outcome, effect: api.Effect) -> None:
     harness = ControllerHarness(
         classes=[api.CallClass(aim_us=SECOND_US, deadline_us=9 * SECOND_US, effect=effect)]
     )
@@ -255,7 +253,7 @@
     assert not actions_of_type(actions, api.SetUp) and not actions_of_type(actions, api.Refuse)
 
 
-# Defences.
+# Overload control.
 
 
 def test_breaker_opens_on_silence_and_one_trial_call_closes_it() -> None:
@@ -269,7 +267,7 @@
     trial = harness.offer_call(1)
     assert actions_of_type(trial, api.SetUp)
     assert actions_of_type(harness.offer_call(1), api.Refuse)
-    harness.call_stands(call=2)
+    harness.establish_call(call=2)
     assert not harness.controller.exchanges[exchange_id(1)].breaker_open and actions_of_type(
         harness.offer_call(1), api.SetUp
     )
@@ -277,7 +275,7 @@
 
 def test_breaker_opens_while_calls_still_wait() -> None:
     harness = ControllerHarness()
-    harness.offer_call(1, left=9 * SECOND_US)
+    harness.offer_call(1, time_left_us=9 * SECOND_US)
     harness.run(3 * SECOND_US)
     assert harness.controller.exchanges[exchange_id(1)].breaker_open
 
@@ -287,21 +285,21 @@
     harness.offer_call(1)
     harness.run(500_000)
     harness.offer_call(1)
-    harness.call_stands(call=2)
+    harness.establish_call(call=2)
     harness.run(SECOND_US)
     harness.end_attempt(Outcome.TIMEOUT, call=1)
     assert not harness.controller.exchanges[exchange_id(1)].breaker_open
 
 
-def test_falling_can_take_lowers_f_and_an_old_figure_does_not() -> None:
+def test_falling_can_take_lowers_the_accept_fraction_and_an_old_figure_does_not() -> None:
     harness = ControllerHarness()
     for value in (12.0, 3.0):
         harness.send_event(api.LoadSeen(exchange_id(1), Outcome.OK, 9, api.Load(can_take=value)))
     harness.run(SECOND_US)
-    low = harness.controller.exchanges[exchange_id(1)].accept_fraction
-    assert low == pytest.approx(0.5)
+    lowered = harness.controller.exchanges[exchange_id(1)].accept_fraction
+    assert lowered == pytest.approx(0.5)
     harness.run(SECOND_US)
-    assert harness.controller.exchanges[exchange_id(1)].accept_fraction > low
+    assert harness.controller.exchanges[exchange_id(1)].accept_fraction > lowered
 
 
 def test_unknown_load_is_not_zero_load() -> None:
@@ -312,12 +310,12 @@
     assert harness.controller.exchanges[exchange_id(1)].accept_fraction < 1.0
 
 
-def test_long_set_up_delay_beyond_our_own_lowers_f() -> None:
+def test_set_up_delay_beyond_our_own_lowers_the_accept_fraction() -> None:
     harness = ControllerHarness()
     for _ in range(6):
-        for cell, took in ((1, 1_400_000), (2, 50_000), (3, 50_000)):
+        for cell, delay_us in ((1, 1_400_000), (2, 50_000), (3, 50_000)):
             harness.offer_call(cell)
-            harness.call_stands(cell, took=took)
+            harness.establish_call(cell, elapsed_us=delay_us)
     harness.run(SECOND_US)
     assert (
         harness.controller.exchanges[exchange_id(1)].accept_fraction < 1.0
@@ -334,61 +332,61 @@
     assert actions_of_type(harness.offer_call(2), api.SetUp)
 
 
-def test_no_overflow_towards_a_pressed_processor() -> None:
+def test_no_overflow_towards_an_overloaded_processor() -> None:
     harness = ControllerHarness()
     harness.set_circuits(1, 0)
     harness.controller.exchanges[exchange_id(1)].accept_fraction = 0.5
     assert actions_of_type(harness.offer_call(1), api.Refuse)
 
 
-def test_crankback_tries_another_tandem_within_the_attempts() -> None:
+def test_crankback_tries_another_tandem_up_to_max_attempts() -> None:
     harness = ControllerHarness(max_attempts=2)
     harness.set_circuits(1, 0)
-    (one,) = actions_of_type(harness.offer_call(1), api.SetUp)
-    (two,) = actions_of_type(
-        harness.end_attempt(Outcome.REJECTED, one.exchange[2], cause=Cause.CRANKBACK), api.SetUp
+    (first,) = actions_of_type(harness.offer_call(1), api.SetUp)
+    (second,) = actions_of_type(
+        harness.end_attempt(Outcome.REJECTED, first.exchange[2], cause=Cause.CRANKBACK), api.SetUp
     )
-    assert two.exchange != one.exchange
-    last = harness.end_attempt(Outcome.REJECTED, two.exchange[2], attempt=1, cause=Cause.CRANKBACK)
+    assert second.exchange != first.exchange
+    last = harness.end_attempt(Outcome.REJECTED, second.exchange[2], attempt=1, cause=Cause.CRANKBACK)
     assert actions_of_type(last, api.Refuse)
     assert not actions_of_type(last, api.SetUp)
 
 
-def test_a_full_processor_beyond_is_not_tried_again() -> None:
+def test_an_overloaded_processor_downstream_is_not_tried_again() -> None:
     harness = ControllerHarness()
     harness.set_circuits(1, 0)
-    (one,) = actions_of_type(harness.offer_call(1), api.SetUp)
-    back = harness.end_attempt(
-        Outcome.REJECTED, one.exchange[2], cause=Cause.CRANKBACK, downstream_overloaded=True
+    (sent,) = actions_of_type(harness.offer_call(1), api.SetUp)
+    actions = harness.end_attempt(
+        Outcome.REJECTED, sent.exchange[2], cause=Cause.CRANKBACK, downstream_overloaded=True
     )
-    assert actions_of_type(back, api.Refuse)
+    assert actions_of_type(actions, api.Refuse)
 
 
-def test_the_draw_refuses_low_worth_first_at_equal_mean() -> None:
+def test_calls_of_low_worth_are_refused_first_at_the_same_accept_fraction() -> None:
     harness = ControllerHarness()
     target = harness.controller.exchanges[exchange_id(1)]
-    taken = {0: 0, 1: 0}
+    admitted = {0: 0, 1: 0}
     for index in range(400):
-        kind = index % 2
+        call_class_index = index % 2
         harness.set_circuits(1, 20)
         target.accept_fraction = 0.5
-        if actions_of_type(harness.offer_call(1, call_class=kind), api.SetUp):
-            taken[kind] += 1
-            harness.call_stands()
-    assert taken[1] > 190 and taken[0] < 20
+        if actions_of_type(harness.offer_call(1, call_class=call_class_index), api.SetUp):
+            admitted[call_class_index] += 1
+            harness.establish_call()
+    assert admitted[1] > 190 and admitted[0] < 20
 
 
 def test_redialled_calls_rank_below_first_tries() -> None:
     harness = ControllerHarness()
     target = harness.controller.exchanges[exchange_id(1)]
-    taken = {True: 0, False: 0}
+    admitted = {True: 0, False: 0}
     for index in range(200):
         harness.set_circuits(1, 20)
         target.accept_fraction = 0.5
         if actions_of_type(harness.offer_call(1, redialled=index % 2 == 0), api.SetUp):
-            taken[index % 2 == 0] += 1
-            harness.call_stands()
-    assert taken[False] > 4 * taken[True]
+            admitted[index % 2 == 0] += 1
+            harness.establish_call()
+    assert admitted[False] > 4 * admitted[True]
 
 
 def test_numbers_found_busy_are_remembered_for_a_bounded_time_and_number() -> None:
@@ -409,23 +407,23 @@
     assert sent.limit_us == 1_500_000
 
 
-# Other settings and bad input.
+# Other settings and invalid input.
 
 
 def test_pools_take_second_choices_of_the_class_only() -> None:
-    kind = api.CallClass(aim_us=SECOND_US, deadline_us=9 * SECOND_US, pools=(1, 3))
-    harness = ControllerHarness(pools=True, home_cell=-1, classes=[kind])
+    call_class = api.CallClass(aim_us=SECOND_US, deadline_us=9 * SECOND_US, pools=(1, 3))
+    harness = ControllerHarness(pools=True, home_cell=-1, classes=[call_class])
     harness.set_circuits(1, 0)
     assert [a.exchange for a in actions_of_type(harness.offer_call(1), api.SetUp)] == [exchange_id(3)]
 
 
-def test_wide_calls_need_that_many_circuits() -> None:
+def test_a_wide_call_needs_as_many_circuits_as_its_width() -> None:
     harness = ControllerHarness()
     harness.set_circuits(1, 3)
     assert actions_of_type(harness.offer_call(1, width=4.0), api.SetUp)[0].exchange != exchange_id(1)
 
 
-def test_discovery_on_request_is_asked_for_again_until_it_answers() -> None:
+def test_discovery_on_request_is_subscribed_to_again_until_it_answers() -> None:
     harness = ControllerHarness(discovery_on_request=True, ask_within_us=4 * SECOND_US)
     assert len(actions_of_type(harness.actions, api.Subscribe)) == 1
     harness.send_event(api.Discovery(api.ListMode.FAILED, []))
@@ -440,14 +438,14 @@
     assert actions_of_type(harness.actions, api.Subscribe)
 
 
-def test_no_cancel_where_it_is_not_allowed() -> None:
+def test_no_cancel_where_the_settings_forbid_it() -> None:
     harness = ControllerHarness(may_cancel=False)
-    harness.offer_call(1, left=SECOND_US)
+    harness.offer_call(1, time_left_us=SECOND_US)
     harness.run(2 * SECOND_US)
     assert actions_of_type(harness.actions, api.Fail) and not actions_of_type(harness.actions, api.Cancel)
 
 
-def test_senseless_events_do_no_harm() -> None:
+def test_invalid_events_are_harmless() -> None:
     harness = ControllerHarness()
     harness.send_event(api.PeerReport(77, 0.0, 0))
     harness.send_event(api.TimerDue(999_999))
@@ -457,7 +455,7 @@
     harness.send_event(api.Discovery(api.ListMode.FAILED, []))
     assert actions_of_type(harness.offer_call(9), api.Refuse)
     assert actions_of_type(harness.offer_call(0), api.Refuse)
-    assert actions_of_type(harness.offer_call(1, left=0), api.Fail)
+    assert actions_of_type(harness.offer_call(1, time_left_us=0), api.Fail)
     assert actions_of_type(harness.offer_call(1, call_class=9), api.Refuse)
     assert actions_of_type(harness.offer_call(1), api.SetUp)
 
@@ -467,7 +465,7 @@
     for number in range(3000):
         harness.set_circuits(1, 20)
         harness.offer_call(1, called_number=number)
-        harness.call_stands()
+        harness.establish_call()
         harness.run(50_000)
     state = harness.controller
     assert not state.calls and len(state.timers) < 70 and not state.exchanges[exchange_id(1)].pending
@@ -526,7 +524,7 @@
     }
 
 
-def test_no_overflow_for_a_number_lately_busy() -> None:
+def test_no_overflow_for_a_number_found_busy_recently() -> None:
     harness = ControllerHarness()
     harness.offer_call(1, called_number=7)
     harness.end_attempt(Outcome.ERROR, cause=Cause.SUBSCRIBER_BUSY)
@@ -543,13 +541,13 @@
     assert actions_of_type(harness.offer_call(1), api.SetUp)
 
 
-def test_an_exchange_found_unreachable_comes_back_slowly() -> None:
+def test_an_exchange_found_unreachable_gets_a_slow_start() -> None:
     harness = ControllerHarness()
     harness.offer_call(1)
     harness.end_attempt(Outcome.UNREACHABLE)
     harness.run(3 * SECOND_US)
     harness.offer_call(1)
-    harness.call_stands()
+    harness.establish_call()
     harness.actions.clear()
     for _ in range(10):
         harness.set_circuits(1, 20)
@@ -560,7 +558,7 @@
 
 
 @pytest.mark.parametrize("value", [-1.0, float("nan"), float("inf"), 1e30])
-def test_absurd_load_figures_are_unknown(value: float) -> None:
+def test_implausible_load_figures_are_unknown(value: float) -> None:
     harness = ControllerHarness()
     load = api.Load(free_circuits=value, group_size=value, utilisation=value, can_take=value)
     harness.send_event(api.LoadSeen(exchange_id(1), Outcome.OK, 9, load))
@@ -572,7 +570,7 @@
     )
 
 
-def test_rule_4_the_share_shrinks_with_the_number_of_controllers() -> None:
+def test_the_cold_start_share_shrinks_with_the_number_of_controllers() -> None:
     harness = ControllerHarness(controllers=50)
     for cell in (2, 3):
         harness.send_event(api.LoadSeen(exchange_id(cell), Outcome.OK, 9, api.Load(can_take=10.0)))
@@ -581,35 +579,35 @@
     )
     for _ in range(50):
         harness.offer_call(1)
-        harness.call_stands()
+        harness.establish_call()
         harness.run(100_000)
-    # 2 x 0.3 x 10 a second / 50 x 2 s is a quarter of a call.
+    # tip_multiple 2 x cold_from 0.3 x 10 calls a second / 50 controllers x 2 s: a quarter of a call.
     assert len(actions_of_type(harness.actions, api.SetUp)) == 1
-    harness.run(6 * SECOND_US)  # warm by now
+    harness.run(6 * SECOND_US)  # past cold_us: warm
     assert actions_of_type(harness.offer_call(1), api.SetUp)
 
 
-def test_rule_4_sends_before_the_news_of_a_start_count() -> None:
+def test_set_ups_sent_before_a_start_is_listed_count_against_the_cold_budget() -> None:
     harness = ControllerHarness()
     harness.offer_call(1)
-    harness.call_stands()
+    harness.establish_call()
     harness.send_event(
         api.Discovery(api.ListMode.DELTA, [api.ExchangeEntry(exchange_id(1), 1, launched_us=START_US)])
     )
     assert actions_of_type(harness.offer_call(1), api.Refuse)
 
 
-# What controllers tell each other.
+# Reports between controllers.
 
 
-def test_overflow_goes_only_where_a_tandem_told_of_room() -> None:
+def test_overflow_uses_only_tandems_that_reported_circuits_to_the_destination() -> None:
     harness = ControllerHarness(may_message=True)
     harness.set_circuits(1, 0)
-    harness.send_event(api.PeerReport(2, 1.0, 0b1000))  # circuits to 3 only
+    harness.send_event(api.PeerReport(2, 1.0, 0b1000))  # circuits to cell 3 only
     for _ in range(10):
         (sent,) = actions_of_type(harness.offer_call(1), api.SetUp)
         assert sent.exchange == exchange_id(3)
-        harness.call_stands(3)
+        harness.establish_call(3)
         harness.set_circuits(3, 20)
     harness.send_event(api.PeerReport(3, 1.0, 0))
     assert actions_of_type(harness.offer_call(1), api.Refuse)
@@ -617,7 +615,7 @@
     assert actions_of_type(harness.offer_call(1), api.SetUp)[0].exchange == exchange_id(2)
 
 
-def test_a_told_fraction_holds_back_calls_and_overflow_and_fades_without_news() -> None:
+def test_a_reported_fraction_limits_calls_and_overflow_and_fades_without_reports() -> None:
     harness = ControllerHarness(may_message=True)
     harness.send_event(api.PeerReport(1, 0.0, 0))
     assert sum(len(actions_of_type(harness.offer_call(1), api.SetUp)) for _ in range(100)) < 30
@@ -627,19 +625,19 @@
     assert harness.controller.exchanges[exchange_id(1)].reported_fraction == 1.0
 
 
-def test_a_processor_whose_every_set_up_waits_is_told_and_holds_its_own_calls() -> None:
+def test_queueing_in_our_own_processor_is_reported_to_the_others() -> None:
     harness = ControllerHarness(may_message=True)
-    for took in [20_000] * 6 + [900_000] * 24:
+    for delay_us in [20_000] * 6 + [900_000] * 24:
         for cell in (1, 2, 3):
             if actions_of_type(harness.offer_call(cell), api.SetUp):
-                harness.call_stands(cell, took=took)
+                harness.establish_call(cell, elapsed_us=delay_us)
             harness.set_circuits(cell, 20)
         harness.run(500_000)
     assert actions_of_type(harness.actions, api.PeerReport)[-1].accept_fraction < 0.5
     assert actions_of_type(harness.actions, api.PeerReport)[-1].cell == 0
 
 
-def test_a_hung_own_processor_is_told_within_a_few_seconds() -> None:
+def test_a_hung_own_processor_is_reported_within_a_few_seconds() -> None:
     harness = ControllerHarness(may_message=True)
     for _ in range(4):
         for cell in (1, 2, 3):
@@ -648,18 +646,18 @@
     assert actions_of_type(harness.actions, api.PeerReport)[-1].accept_fraction < 0.8
 
 
-def test_one_slow_far_processor_is_not_taken_for_our_own() -> None:
+def test_one_slow_remote_processor_is_not_attributed_to_our_own() -> None:
     harness = ControllerHarness(may_message=True)
     for _ in range(20):
-        for cell, took in ((1, 1_400_000), (2, 30_000), (3, 30_000)):
+        for cell, delay_us in ((1, 1_400_000), (2, 30_000), (3, 30_000)):
             harness.offer_call(cell)
-            harness.call_stands(cell, took=took)
+            harness.establish_call(cell, elapsed_us=delay_us)
             harness.set_circuits(cell, 20)
         harness.run(500_000)
     assert all(a.accept_fraction == 1.0 for a in actions_of_type(harness.actions, api.PeerReport))
 
 
-def test_reports_of_a_mesh_of_60_are_few_and_none_where_not_allowed() -> None:
+def test_reports_in_a_mesh_of_60_are_few_and_absent_where_not_allowed() -> None:
     harness = ControllerHarness(cells=60, controllers=60, may_message=True)
     harness.run(200 * SECOND_US)
     assert 1 <= len(actions_of_type(harness.actions, api.PeerReport)) <= 4
@@ -669,23 +667,23 @@
     assert not actions_of_type(silent.actions, api.PeerReport)
 
 
-def test_news_waits_while_many_others_tell_theirs() -> None:
-    told = {}
-    for heard in (0, 90):
+def test_urgent_reports_wait_while_many_reports_are_heard() -> None:
+    report_counts = {}
+    for reports_heard in (0, 90):
         harness = ControllerHarness(cells=100, controllers=100, may_message=True)
         harness.run(2 * SECOND_US)
         harness.actions.clear()
         for _ in range(8):
             for cell in range(1, 60):
                 harness.offer_call(cell)
-            for cell in range(heard):
+            for cell in range(reports_heard):
                 harness.send_event(api.PeerReport(cell % 99 + 1, 0.5, 0))
             harness.run(SECOND_US)
-        told[heard] = len(actions_of_type(harness.actions, api.PeerReport))
-    assert told[0] >= 2 and told[90] <= 1
+        report_counts[reports_heard] = len(actions_of_type(harness.actions, api.PeerReport))
+    assert report_counts[0] >= 2 and report_counts[90] <= 1
 
 
-def test_full_answers_from_everywhere_are_our_own_processors() -> None:
+def test_overload_answers_from_all_exchanges_are_attributed_to_our_own_processor() -> None:
     harness = ControllerHarness(may_message=True)
     for _ in range(6):
         for cell in (1, 2, 3):
@@ -693,49 +691,51 @@
                 harness.end_attempt(Outcome.REJECTED, cell, cause=Cause.PROCESSOR_OVERLOADED)
         harness.run(500_000)
     assert min(a.accept_fraction for a in actions_of_type(harness.actions, api.PeerReport)) < 0.6
-    # Full from one, while calls to the others stand: the far one's.
+    # Overload at one exchange, while calls to another are established: the remote processor is at fault.
     other = ControllerHarness(may_message=True)
     for _ in range(6):
         if actions_of_type(other.offer_call(1), api.SetUp):
             other.end_attempt(Outcome.REJECTED, 1, cause=Cause.PROCESSOR_OVERLOADED)
         other.offer_call(2)
-        other.call_stands(2)
+        other.establish_call(2)
         other.run(500_000)
     assert other.controller.inbound_fraction == 1.0
 
 
-def test_redialled_calls_take_no_second_group() -> None:
+def test_redialled_calls_get_no_overflow() -> None:
     harness = ControllerHarness()
-    for free in (0.0, 1.0):  # none, and none beyond the reservation
+    for free in (0.0, 1.0):  # no circuit, and none beyond the reservation
         harness.set_circuits(1, free)
         assert actions_of_type(harness.offer_call(1, redialled=True), api.Refuse)
     assert actions_of_type(harness.offer_call(1), api.SetUp)
 
 
-def test_rule_4_a_cold_exchange_is_measured_by_what_it_could_take_and_says_it_can() -> None:
+def test_cold_budget_follows_the_previous_and_the_reported_can_take() -> None:
     sent = {}
-    for said in (None, 12.0, 1000.0):
+    for can_take_reported in (None, 12.0, 1000.0):
         harness = ControllerHarness(controllers=4)
         harness.send_event(api.LoadSeen(exchange_id(1), Outcome.OK, 9, api.Load(can_take=20.0)))
         harness.send_event(
             api.Discovery(api.ListMode.DELTA, [api.ExchangeEntry(exchange_id(1), 1, launched_us=harness.now)])
         )
         harness.run(5 * SECOND_US)
-        if said:
-            harness.send_event(api.LoadSeen(exchange_id(1), Outcome.OK, 9, api.Load(can_take=said)))
+        if can_take_reported:
+            harness.send_event(
+                api.LoadSeen(exchange_id(1), Outcome.OK, 9, api.Load(can_take=can_take_reported))
+            )
         harness.actions.clear()
         for _ in range(60):
             harness.set_circuits(1, 20)
             if actions_of_type(harness.offer_call(1), api.SetUp):
-                harness.call_stands()
-        sent[said] = len(actions_of_type(harness.actions, api.SetUp))
-    share = 2.0 * 2 / 4  # multiple x window over controllers
-    assert sent[None] == share * 0.3 * 20  # the coldest share of what it could take before
-    assert sent[12.0] == share * 12  # what it says
-    assert sent[1000.0] <= share * 0.65 * 20 + 1  # never more than steady warming gives
+                harness.establish_call()
+        sent[can_take_reported] = len(actions_of_type(harness.actions, api.SetUp))
+    share = 2.0 * 2 / 4  # tip_multiple x window / controllers
+    assert sent[None] == share * 0.3 * 20  # cold_from of the can_take before the start
+    assert sent[12.0] == share * 12  # the reported can_take
+    assert sent[1000.0] <= share * 0.65 * 20 + 1  # at most what linear warming allows
 
 
-def test_rule_4_in_a_mesh_of_60_all_agents_together_keep_the_budget() -> None:
+def test_in_a_mesh_of_60_all_controllers_together_keep_the_cold_budget() -> None:
     sent = 0
     for seed in range(60):
         harness = ControllerHarness(cells=60, seed=seed, controllers=60)
@@ -743,7 +743,7 @@
             harness.send_event(api.LoadSeen(exchange_id(cell), Outcome.OK, 9, api.Load(can_take=12.0)))
         harness.send_event(api.LoadSeen(exchange_id(1), Outcome.OK, 9, api.Load(can_take=12.0)))
         harness.offer_call(1)
-        harness.call_stands()
+        harness.establish_call()
         harness.send_event(
             api.Discovery(api.ListMode.DELTA, [api.ExchangeEntry(exchange_id(1), 1, launched_us=harness.now)])
         )
@@ -752,27 +752,27 @@
             harness.offer_call(1)
             harness.run(500_000)
         sent += len(actions_of_type(harness.actions, api.SetUp))
-    assert 0 < sent <= 2.0 * 0.3 * 12 * 9  # multiple x coldest share x size over nine seconds
+    assert 0 < sent <= 2.0 * 0.3 * 12 * 9  # tip_multiple x cold_from x can_take x 9 s
 
 
-def test_a_burst_is_held_back_within_the_epoch() -> None:
+def test_a_burst_is_limited_within_the_epoch() -> None:
     harness = ControllerHarness()
     sent = 0
     for cell in (1, 2, 3) * 40:
         harness.set_circuits(cell, 20)
         sent += len(actions_of_type(harness.offer_call(cell), api.SetUp))
     assert controller.MIN_BURST <= sent < 60
-    steady = ControllerHarness()  # as many calls, each standing before the next: no burst
+    steady = ControllerHarness()  # as many calls, each established before the next: no burst
     for cell in (1, 2, 3) * 40:
         steady.set_circuits(cell, 20)
         assert actions_of_type(steady.offer_call(cell), api.SetUp)
-        steady.call_stands(cell)
+        steady.establish_call(cell)
 
 
-# Bad input gets a safe decision.
+# Invalid input gets a safe decision.
 
 
-def test_a_group_of_size_0_is_never_sent_to_directly() -> None:
+def test_a_group_of_size_0_gets_no_direct_call() -> None:
     harness = ControllerHarness(may_message=True)
     harness.set_circuits(1, 0, 0)
     (sent,) = actions_of_type(harness.offer_call(1), api.SetUp)
@@ -781,7 +781,7 @@
     assert not actions_of_type(harness.actions, api.PeerReport)[-1].reachable_cells & 0b10
 
 
-def test_lists_alike_in_all_attributes_are_followed() -> None:
+def test_a_list_of_exchanges_with_the_same_cell_is_accepted() -> None:
     harness = ControllerHarness()
     harness.send_event(
         api.Discovery(api.ListMode.FULL, [api.ExchangeEntry(exchange_id(c), 1) for c in range(4)])
@@ -790,14 +790,14 @@
     assert actions_of_type(harness.offer_call(2), api.Refuse)
 
 
-def test_hours_of_service_leave_bounded_state_and_open_fractions() -> None:
+def test_hours_of_service_leave_bounded_state_and_full_accept_fractions() -> None:
     harness = ControllerHarness(may_message=True)
-    for turn in range(400):
+    for index in range(400):
         for cell in (1, 2, 3):
             harness.set_circuits(cell, 20)
-            harness.offer_call(cell, called_number=turn)
-            harness.call_stands(cell)
-        if turn % 10 == 0:
+            harness.offer_call(cell, called_number=index)
+            harness.establish_call(cell)
+        if index % 10 == 0:
             harness.send_event(api.PeerReport(1, 0.2, 0b1100))
         harness.run(30 * SECOND_US)
     state = harness.controller
@@ -813,7 +813,7 @@
 @pytest.mark.parametrize(
     ("allowed", "transit", "advice"), [(True, False, SECOND_US), (True, True, 0), (False, False, 0)]
 )
-def test_a_refusal_says_when_to_come_back_where_callers_hear_it(
+def test_a_refusal_has_a_retry_after_time_where_callers_support_it(
     allowed: bool, transit: bool, advice: int
 ) -> None:
     harness = ControllerHarness(retry_after=allowed, max_retry_after_us=2 * SECOND_US)
@@ -822,41 +822,41 @@
 
 
 @pytest.mark.parametrize(
-    ("changes", "ended", "sent"),
+    ("changes", "attempt_end", "sent"),
     [
         ({}, {}, 4),
         ({"effect": api.Effect.GUARDED}, {}, 1),
         ({}, {"cause": Cause.SUBSCRIBER_BUSY}, 1),
-        ({"aim_us": 150_000}, {}, 2),
-    ],  # the third would come after the aim
+        ({"aim_us": 150_000}, {}, 2),  # a third attempt would end after the aim
+    ],
 )
-def test_a_harmless_call_that_ends_in_error_is_sent_again_at_once(
-    changes: dict[str, Any], ended: dict[str, Any], sent: int
+def test_a_harmless_call_that_ends_in_error_is_retried_at_once(
+    changes: dict[str, Any], attempt_end: dict[str, Any], sent: int
 ) -> None:
-    """Three more times, to the same exchange; errors may be a share of all only."""
+    """Up to three retries go to the same exchange, because only a limited share of calls may end in error."""
     harness = ControllerHarness(
         classes=[api.CallClass(**{"aim_us": SECOND_US, "deadline_us": 9 * SECOND_US} | changes)]
     )
     harness.offer_call(1)
-    assert actions_of_type(harness.end_attempt(Outcome.ERROR), api.Fail)  # a lone error is not worth the work
-    actions, made = harness.offer_call(1), 0
+    assert actions_of_type(harness.end_attempt(Outcome.ERROR), api.Fail)  # no retry after an isolated error
+    actions, attempts = harness.offer_call(1), 0
     while actions_of_type(actions, api.SetUp):
         assert actions_of_type(actions, api.SetUp)[0].exchange == exchange_id(1)
         harness.now += 60_000
-        actions, made = harness.end_attempt(Outcome.ERROR, attempt=made, **ended), made + 1
-    assert made == sent and len(actions_of_type(actions, api.Fail)) == 1
+        actions, attempts = harness.end_attempt(Outcome.ERROR, attempt=attempts, **attempt_end), attempts + 1
+    assert attempts == sent and len(actions_of_type(actions, api.Fail)) == 1
 
 
-def test_a_lost_answer_is_no_queue() -> None:
-    """One set-up in ten stays unanswered while later ones stand: nothing is refused for it."""
+def test_a_lost_answer_does_not_count_as_a_queue() -> None:
+    """One set-up in ten stays unanswered while later ones are established: no call is refused for that."""
     harness = ControllerHarness(classes=[api.CallClass(aim_us=300_000, deadline_us=2 * SECOND_US)])
     refused = 0
-    for at in range(200):
+    for index in range(200):
         harness.set_circuits(1, 20)
         refused += len(actions_of_type(harness.offer_call(1), api.Refuse))
         harness.run(20_000)
-        if at % 10:
-            harness.call_stands(took=20_000)
-        elif at > 10:
+        if index % 10:
+            harness.establish_call(elapsed_us=20_000)
+        elif index > 10:
             harness.end_attempt(Outcome.TIMEOUT, call=harness.calls - 10)
     assert not refused
