--- a/barleywheel/controller.py
+++ b/barleywheel/controller.py
@@ -458,15 +458,16 @@
         if cold_since_us == 0 or now - cold_since_us >= settings.cold_us:
             return True
         # A cold exchange must not be overloaded: within any window each of the n controllers sends at most
-        # 1/n of what it can carry. That is cold_from of its warm capacity, or the can_take that it reports if
-        # that is more. The reported figure is limited by linear warming, because a late report may still
-        # describe the processor before the restart. The warm capacity is the one known from before the start,
-        # else a low estimate: the lower of our usual send rate and the median of the exchanges' capacities.
-        shares = sorted(x.capacity / settings.controllers for x in self.exchanges.values() if x.capacity) or [
-            self.send_rate
-        ]
-        share = exchange.old_capacity / settings.controllers or min(
-            self.send_rate or shares[0], shares[len(shares) // 2]
+        # 1/n of tip_multiple times what it can carry. It can carry cold_from of its warm capacity, or
+        # the can_take that it reports if that is more. The reported figure is limited by linear warming,
+        # because a late report may still describe the processor before the restart. The warm capacity
+        # is the one known from before the start, else a low estimate: the lower of our usual send rate and
+        # the median of the exchanges' capacities.
+        capacity_shares = sorted(
+            x.capacity / settings.controllers for x in self.exchanges.values() if x.capacity
+        ) or [self.send_rate]
+        capacity_share = exchange.old_capacity / settings.controllers or min(
+            self.send_rate or capacity_shares[0], capacity_shares[len(capacity_shares) // 2]
         )
         warm_share = (
             settings.cold_from + (1.0 - settings.cold_from) * (now - cold_since_us) / settings.cold_us
@@ -476,8 +477,8 @@
             * settings.fall_us
             / 1e6
             * max(
-                settings.cold_from * share,
-                min(warm_share * share, exchange.capacity / settings.controllers),
+                settings.cold_from * capacity_share,
+                min(warm_share * capacity_share, exchange.capacity / settings.controllers),
             )
         )
         if 0 < window_budget < 1:
