--- a/barleywheel/fronts/m3ua.py
+++ b/barleywheel/fronts/m3ua.py
@@ -31,7 +31,7 @@
 from barleywheel.net import sockets
 from barleywheel.net.connection import Connection
 from barleywheel.wire import isup, m3ua
-from barleywheel.wire.m3ua import Error, Kind, Tag
+from barleywheel.wire.m3ua import ErrorCode, MessageCode, Tag
 
 log = logging.getLogger(__name__)
 MAX_RELS = 3  # RELs sent for one release before the circuit is taken out of service
@@ -351,7 +351,7 @@
             link.close()
             return
         if link.asp is not AspState.DOWN:
-            link.write(m3ua.encode(Kind.BEAT, {Tag.HEARTBEAT: now_us().to_bytes(8, "big")}))
+            link.write(m3ua.encode(MessageCode.BEAT, {Tag.HEARTBEAT_DATA: now_us().to_bytes(8, "big")}))
         self.deadlines.schedule(now_us() + period, partial(self._send_beat, link))
 
     def _leave_state(self, link: Link, state: AspState) -> None:
@@ -366,71 +366,76 @@
             log.info("link down: peer=%d", peer.conf.point_code)
             peer.handle_link_down()
 
-    def _send_error(self, link: Link, error: Error) -> None:
+    def _send_error(self, link: Link, error: ErrorCode) -> None:
         log.warning("error sent: peer=%s code=%s", link.peer, error.name)
-        link.write(m3ua.encode(Kind.ERR, {Tag.ERROR_CODE: error.to_bytes(4, "big")}))
+        link.write(m3ua.encode(MessageCode.ERR, {Tag.ERROR_CODE: error.to_bytes(4, "big")}))
 
     def _handle_message(self, link: Link, message: m3ua.Message) -> None:
         if message.version != m3ua.VERSION:
-            self._send_error(link, Error.INVALID_VERSION)
+            self._send_error(link, ErrorCode.INVALID_VERSION)
             return
         context = message.number(Tag.ROUTING_CONTEXT)
         if context is not None and context != self.conf.routing_context:
-            self._send_error(link, Error.INVALID_ROUTING_CONTEXT)
+            self._send_error(link, ErrorCode.INVALID_ROUTING_CONTEXT)
             return
         match message.code:
-            case Kind.ASPUP:
+            case MessageCode.ASPUP:
                 self._handle_aspup(link, message)
-            case Kind.ASPDN:
+            case MessageCode.ASPDN:
                 self._leave_state(link, AspState.DOWN)
-                link.write(m3ua.encode(Kind.ASPDN_ACK))
-            case Kind.BEAT:
-                data = message.parameters.get(Tag.HEARTBEAT)
-                link.write(m3ua.encode(Kind.BEAT_ACK, {Tag.HEARTBEAT: data} if data is not None else {}))
-            case Kind.BEAT_ACK | Kind.NTFY:
+                link.write(m3ua.encode(MessageCode.ASPDN_ACK))
+            case MessageCode.BEAT:
+                data = message.parameters.get(Tag.HEARTBEAT_DATA)
+                link.write(
+                    m3ua.encode(MessageCode.BEAT_ACK, {Tag.HEARTBEAT_DATA: data} if data is not None else {})
+                )
+            case MessageCode.BEAT_ACK | MessageCode.NTFY:
                 pass
-            case Kind.ERR:
+            case MessageCode.ERR:
                 log.warning("error heard: peer=%s code=%s", link.peer, message.number(Tag.ERROR_CODE))
-            case Kind.ASPAC | Kind.ASPIA if link.exchange is None or link.asp is AspState.DOWN:
-                self._send_error(link, Error.UNEXPECTED_MESSAGE)
-            case Kind.ASPAC:
+            case MessageCode.ASPAC | MessageCode.ASPIA if link.exchange is None or link.asp is AspState.DOWN:
+                self._send_error(link, ErrorCode.UNEXPECTED_MESSAGE)
+            case MessageCode.ASPAC:
                 self._activate(link)
-            case Kind.ASPIA:
+            case MessageCode.ASPIA:
                 self._leave_state(link, AspState.INACTIVE)
-                link.write(m3ua.encode(Kind.ASPIA_ACK, self._context()))
-                link.write(m3ua.encode(Kind.NTFY, self._context() | {Tag.STATUS: m3ua.AS_PENDING}))
-            case Kind.DATA:
+                link.write(m3ua.encode(MessageCode.ASPIA_ACK, self._context()))
+                link.write(
+                    m3ua.encode(MessageCode.NTFY, self._context() | {Tag.STATUS: m3ua.AS_PENDING_STATUS})
+                )
+            case MessageCode.DATA:
                 self._handle_data(link, message)
-            case Kind.DUNA | Kind.DAVA | Kind.SCON:
+            case MessageCode.DUNA | MessageCode.DAVA | MessageCode.SCON:
                 self._handle_network_status(link, message)
-            case Kind.DAUD:
+            case MessageCode.DAUD:
                 link.write(
                     m3ua.encode(
-                        Kind.DAVA, self._context() | {Tag.AFFECTED: self.conf.point_code.to_bytes(4, "big")}
+                        MessageCode.DAVA,
+                        self._context() | {Tag.AFFECTED_POINT_CODES: self.conf.point_code.to_bytes(4, "big")},
                     )
                 )
             case code if code >> 8 in (0, 1, 2, 3, 4):
-                self._send_error(link, Error.UNSUPPORTED_TYPE)
+                self._send_error(link, ErrorCode.UNSUPPORTED_TYPE)
             case _:
-                self._send_error(link, Error.UNSUPPORTED_CLASS)
+                self._send_error(link, ErrorCode.UNSUPPORTED_CLASS)
 
     def _context(self) -> dict[Tag, bytes]:
         return {Tag.ROUTING_CONTEXT: self.conf.routing_context.to_bytes(4, "big")}
 
     def _handle_aspup(self, link: Link, message: m3ua.Message) -> None:
-        number = message.number(Tag.ASP_ID)
+        number = message.number(Tag.ASP_IDENTIFIER)
         found = [peer for peer in self.peers.values() if peer.conf.asp == number] or (
             list(self.peers.values()) if number is None and len(self.peers) == 1 else []
         )
         if not found:
-            self._send_error(link, Error.NO_AS_FOR_ASP)
+            self._send_error(link, ErrorCode.NO_AS_FOR_ASP)
             return
         # ASPUP on an active link takes it back to inactive (RFC 4666, 4.3.4.1)
         if link.asp is AspState.ACTIVE:
             self._leave_state(link, AspState.INACTIVE)
         link.exchange, link.asp = found[0], AspState.INACTIVE
-        link.write(m3ua.encode(Kind.ASPUP_ACK))
-        link.write(m3ua.encode(Kind.NTFY, self._context() | {Tag.STATUS: m3ua.AS_INACTIVE}))
+        link.write(m3ua.encode(MessageCode.ASPUP_ACK))
+        link.write(m3ua.encode(MessageCode.NTFY, self._context() | {Tag.STATUS: m3ua.AS_INACTIVE_STATUS}))
 
     def _activate(self, link: Link) -> None:
         peer = link.exchange
@@ -441,43 +446,43 @@
             old.close()
         again = link.asp is AspState.ACTIVE
         peer.link, link.asp, peer.unavailable = link, AspState.ACTIVE, False
-        link.write(m3ua.encode(Kind.ASPAC_ACK, self._context()))
+        link.write(m3ua.encode(MessageCode.ASPAC_ACK, self._context()))
         if not again:
-            link.write(m3ua.encode(Kind.NTFY, self._context() | {Tag.STATUS: m3ua.AS_ACTIVE}))
+            link.write(m3ua.encode(MessageCode.NTFY, self._context() | {Tag.STATUS: m3ua.AS_ACTIVE_STATUS}))
             log.info("link active: peer=%d", peer.conf.point_code)
             peer.handle_link_active()
 
     def _handle_network_status(self, link: Link, message: m3ua.Message) -> None:
         points = message.point_codes()
         if not points:
-            self._send_error(link, Error.MISSING_PARAMETER)
+            self._send_error(link, ErrorCode.MISSING_PARAMETER)
         for point in points:
             peer = self.peers.get(point)
             if peer is None or link.asp is not AspState.ACTIVE:
                 continue
-            log.info("network news: peer=%d %s", point, Kind(message.code).name)
-            if message.code == Kind.SCON:
-                quiet = message.number(Tag.CONGESTION) == 0
+            log.info("network news: peer=%d %s", point, MessageCode(message.code).name)
+            if message.code == MessageCode.SCON:
+                quiet = message.number(Tag.CONGESTION_INDICATIONS) == 0
                 peer.congested_us = 0 if quiet else now_us() + CONGESTION_VALIDITY_US
             else:
-                peer.unavailable = message.code == Kind.DUNA
+                peer.unavailable = message.code == MessageCode.DUNA
 
     # Calls.
 
     def _handle_data(self, link: Link, message: m3ua.Message) -> None:
         transfer = m3ua.decode_transfer(message)
         if link.asp is not AspState.ACTIVE:
-            self._send_error(link, Error.UNEXPECTED_MESSAGE)
+            self._send_error(link, ErrorCode.UNEXPECTED_MESSAGE)
             return
         if transfer is None:
-            self._send_error(link, Error.MISSING_PARAMETER)
+            self._send_error(link, ErrorCode.MISSING_PARAMETER)
             return
         peer = self.peers.get(transfer.opc)
         if (
             peer is not link.exchange
             or peer is None
             or transfer.dpc != self.conf.point_code
-            or (transfer.si != m3ua.SI_ISUP)
+            or (transfer.si != m3ua.ISUP_SERVICE_INDICATOR)
         ):
             log.warning(
                 "message for nobody here dropped: peer=%s opc=%d dpc=%d si=%d",
--- a/barleywheel/fuzz/plants.py
+++ b/barleywheel/fuzz/plants.py
@@ -136,8 +136,8 @@
         "padding forgotten",
         "m3ua",
         "wire/m3ua.py",
-        "body += PARAMETER.pack(tag, size) + value + bytes(-size % 4)",
-        "body += PARAMETER.pack(tag, size + size % 2) + value + bytes(-size % 4)",
+        "body += PARAMETER_HEADER.pack(tag, size) + value + bytes(-size % 4)",
+        "body += PARAMETER_HEADER.pack(tag, size + size % 2) + value + bytes(-size % 4)",
     ),
     PlantedFault(
         "optional parameter cut",
--- a/barleywheel/wire/m3ua.py
+++ b/barleywheel/wire/m3ua.py
@@ -1,4 +1,4 @@
-"""M3UA (RFC 4666): the common header, parameters and the messages spoken here, cut off a TCP stream."""
+"""M3UA codec (RFC 4666): common header, parameters and the message types in use, framed on a TCP stream."""
 
 from __future__ import annotations
 
@@ -9,16 +9,16 @@
 from barleywheel.net.buffer import Buffer
 from barleywheel.wire import Malformed
 
-LIMIT = 16 * 1024
-HEADER = struct.Struct(">BBBBI")
-PARAMETER = struct.Struct(">HH")
-ROUTING = struct.Struct(">IIBBBB")
-SI_ISUP = 5
+MAX_MESSAGE_BYTES = 16 * 1024
+COMMON_HEADER = struct.Struct(">BBBBI")  # version, reserved, message class, message type, message length
+PARAMETER_HEADER = struct.Struct(">HH")  # tag, length with this header and without padding
+PROTOCOL_DATA_HEADER = struct.Struct(">IIBBBB")  # OPC, DPC, SI, NI, message priority, SLS
+ISUP_SERVICE_INDICATOR = 5
 VERSION = 1
 
 
-class Kind(IntEnum):
-    """Class and type of a message as one number."""
+class MessageCode(IntEnum):
+    """Message class (high byte) and message type (low byte) as one number."""
 
     ERR = 0x0000
     NTFY = 0x0001
@@ -40,23 +40,23 @@
 
 
 class Tag(IntEnum):
-    """Parameters."""
+    """Parameter tags (RFC 4666, 3.2)."""
 
-    INFO = 0x0004
+    INFO_STRING = 0x0004
     ROUTING_CONTEXT = 0x0006
-    DIAGNOSTIC = 0x0007
-    HEARTBEAT = 0x0009
-    TRAFFIC_MODE = 0x000B
+    DIAGNOSTIC_INFORMATION = 0x0007
+    HEARTBEAT_DATA = 0x0009
+    TRAFFIC_MODE_TYPE = 0x000B
     ERROR_CODE = 0x000C
     STATUS = 0x000D
-    ASP_ID = 0x0011
-    AFFECTED = 0x0012
-    CONGESTION = 0x0205
+    ASP_IDENTIFIER = 0x0011
+    AFFECTED_POINT_CODES = 0x0012
+    CONGESTION_INDICATIONS = 0x0205
     PROTOCOL_DATA = 0x0210
 
 
-class Error(IntEnum):
-    """Error codes of ERR."""
+class ErrorCode(IntEnum):
+    """Values of the Error Code parameter of ERR (RFC 4666, 3.8.1)."""
 
     INVALID_VERSION = 0x01
     UNSUPPORTED_CLASS = 0x03
@@ -68,84 +68,87 @@
     NO_AS_FOR_ASP = 0x1A
 
 
-# Status types and informations of NTFY: application server state changes.
-AS_INACTIVE = struct.pack(">HH", 1, 2)
-AS_ACTIVE = struct.pack(">HH", 1, 3)
-AS_PENDING = struct.pack(">HH", 1, 4)
+# Status parameter of NTFY: type 1 (application server state change) and the new state.
+AS_INACTIVE_STATUS = struct.pack(">HH", 1, 2)
+AS_ACTIVE_STATUS = struct.pack(">HH", 1, 3)
+AS_PENDING_STATUS = struct.pack(">HH", 1, 4)
 
 
 @dataclass(slots=True)
 class Message:
-    """One message; ``code`` is its class and type, known or not."""
+    """An M3UA message; ``code`` holds class and type, also of messages that ``MessageCode`` does not list."""
 
     code: int
     version: int = VERSION
     parameters: dict[int, bytes] = field(default_factory=dict)
 
     def number(self, tag: Tag) -> int | None:
-        """A parameter of four bytes as a number."""
+        """The first four bytes of a parameter as an integer; None if it is absent or shorter."""
         value = self.parameters.get(tag)
         return int.from_bytes(value[:4], "big") if value is not None and len(value) >= 4 else None
 
     def point_codes(self) -> list[int]:
-        """The affected point codes; the mask before each is for clusters, which are not served."""
-        value = self.parameters.get(Tag.AFFECTED, b"")
-        return [int.from_bytes(value[at + 1 : at + 4], "big") for at in range(0, len(value) - 3, 4)]
+        """The affected point codes. The mask byte before each denotes a cluster and is ignored."""
+        value = self.parameters.get(Tag.AFFECTED_POINT_CODES, b"")
+        return [
+            int.from_bytes(value[offset + 1 : offset + 4], "big") for offset in range(0, len(value) - 3, 4)
+        ]
 
 
 @dataclass(slots=True)
 class Transfer:
-    """The protocol data of DATA."""
+    """The Protocol Data parameter of DATA: routing label, service information and the user part's message."""
 
-    opc: int
-    dpc: int
-    user: bytes
-    si: int = SI_ISUP
-    ni: int = 2
-    sls: int = 0
+    opc: int  # originating point code
+    dpc: int  # destination point code
+    user: bytes  # message of the user part, such as ISUP
+    si: int = ISUP_SERVICE_INDICATOR
+    ni: int = 2  # network indicator: national network
+    sls: int = 0  # signalling link selection
 
 
 def parse_next(buffer: Buffer) -> Message | None:
-    """Take the next message off the buffer; None until it is whole."""
-    if len(buffer) < HEADER.size:
+    """Remove and return the next message of the buffer; None while it is incomplete."""
+    if len(buffer) < COMMON_HEADER.size:
         return None
-    version, _, kind, what, length = HEADER.unpack(buffer.peek(HEADER.size))
-    if not HEADER.size <= length <= LIMIT:
-        raise Malformed(f"M3UA length of {length}")
+    version, _, message_class, message_type, length = COMMON_HEADER.unpack(buffer.peek(COMMON_HEADER.size))
+    if not COMMON_HEADER.size <= length <= MAX_MESSAGE_BYTES:
+        raise Malformed(f"M3UA message length invalid: {length}")
     if len(buffer) < length:
         return None
-    body = buffer.take(length)[HEADER.size :]
-    message, at = Message(kind << 8 | what, version), 0
-    while at + PARAMETER.size <= len(body):
-        tag, size = PARAMETER.unpack_from(body, at)
-        if size < PARAMETER.size or at + size > len(body):
-            raise Malformed("M3UA parameter longer than its message")
-        message.parameters.setdefault(tag, body[at + PARAMETER.size : at + size])
-        at += size + -size % 4
+    body = buffer.take(length)[COMMON_HEADER.size :]
+    message, offset = Message(message_class << 8 | message_type, version), 0
+    while offset + PARAMETER_HEADER.size <= len(body):
+        tag, size = PARAMETER_HEADER.unpack_from(body, offset)
+        if size < PARAMETER_HEADER.size or offset + size > len(body):
+            raise Malformed("M3UA parameter length too small or beyond the end of the message")
+        message.parameters.setdefault(tag, body[offset + PARAMETER_HEADER.size : offset + size])
+        offset += size + -size % 4
     return message
 
 
-def encode(kind: Kind, parameters: dict[Tag, bytes] | None = None) -> bytes:
-    """One message."""
+def encode(code: MessageCode, parameters: dict[Tag, bytes] | None = None) -> bytes:
+    """Encode a message; each parameter is padded to a multiple of four bytes."""
     body = b""
     for tag, value in (parameters or {}).items():
-        size = PARAMETER.size + len(value)
-        body += PARAMETER.pack(tag, size) + value + bytes(-size % 4)
-    return HEADER.pack(VERSION, 0, kind >> 8, kind & 0xFF, HEADER.size + len(body)) + body
+        size = PARAMETER_HEADER.size + len(value)
+        body += PARAMETER_HEADER.pack(tag, size) + value + bytes(-size % 4)
+    return COMMON_HEADER.pack(VERSION, 0, code >> 8, code & 0xFF, COMMON_HEADER.size + len(body)) + body
 
 
-def encode_transfer(transfer: Transfer, context: int) -> bytes:
-    """DATA."""
-    head = ROUTING.pack(transfer.opc, transfer.dpc, transfer.si, transfer.ni, 0, transfer.sls)
+def encode_transfer(transfer: Transfer, routing_context: int) -> bytes:
+    """Encode a DATA message."""
+    header = PROTOCOL_DATA_HEADER.pack(transfer.opc, transfer.dpc, transfer.si, transfer.ni, 0, transfer.sls)
     return encode(
-        Kind.DATA, {Tag.ROUTING_CONTEXT: context.to_bytes(4, "big"), Tag.PROTOCOL_DATA: head + transfer.user}
+        MessageCode.DATA,
+        {Tag.ROUTING_CONTEXT: routing_context.to_bytes(4, "big"), Tag.PROTOCOL_DATA: header + transfer.user},
     )
 
 
 def decode_transfer(message: Message) -> Transfer | None:
-    """The protocol data; None where it is missing or cut short."""
+    """Decode the Protocol Data of a DATA message; None if it is absent or truncated."""
     value = message.parameters.get(Tag.PROTOCOL_DATA, b"")
-    if len(value) < ROUTING.size:
+    if len(value) < PROTOCOL_DATA_HEADER.size:
         return None
-    opc, dpc, si, ni, _, sls = ROUTING.unpack_from(value)
-    return Transfer(opc, dpc, value[ROUTING.size :], si, ni, sls)
+    opc, dpc, si, ni, _, sls = PROTOCOL_DATA_HEADER.unpack_from(value)
+    return Transfer(opc, dpc, value[PROTOCOL_DATA_HEADER.size :], si, ni, sls)
