--- a/barleywheel/fronts/m3ua.py
+++ b/barleywheel/fronts/m3ua.py
@@ -547,7 +547,7 @@
 
     def _destination(self, number: str) -> int:
         """The cell of the longest prefix that fits; -1 for none."""
-        if not 0 < len(number) <= isup.MAX_DIGITS:  # what hubs take: they close on anything else
+        if not 0 < len(number) <= isup.MAX_CALLED_DIGITS:  # what hubs take: they close on anything else
             return -1
         fits = [prefix for prefix in self.conf.numbers if number.startswith(prefix)]
         return self.conf.numbers[max(fits, key=len)] if fits else -1
--- a/barleywheel/fuzz/plants.py
+++ b/barleywheel/fuzz/plants.py
@@ -143,8 +143,8 @@
         "optional parameter cut",
         "isup",
         "wire/isup.py",
-        "value = data[at + 2 : at + 2 + data[at + 1]]\n",
-        "value = data[at + 2 : at + 1 + data[at + 1]]\n",
+        "value = data[offset + 2 : offset + 2 + data[offset + 1]]\n",
+        "value = data[offset + 2 : offset + 1 + data[offset + 1]]\n",
     ),
     PlantedFault(
         "ids kept for ever",
--- a/barleywheel/wire/isup.py
+++ b/barleywheel/wire/isup.py
@@ -1,7 +1,7 @@
-"""ISUP (Q.763): the messages of a basic call, in the user data of M3UA's DATA.
+"""ISUP codec (Q.763): the messages of a basic call, carried as user data of M3UA DATA messages.
 
-The number called is hex digits here, so all sixteen codes of an address signal are digits. The
-description of a call travels as user-to-user information, in IAM and in ANM.
+Called party numbers are hexadecimal here, so all sixteen address signal codes are valid digits. The
+description of a call is carried as user-to-user information in IAM and ANM.
 """
 
 from __future__ import annotations
@@ -10,14 +10,19 @@
 from dataclasses import dataclass
 from enum import IntEnum
 
-MAX_DIGITS = 16
-MAX_DESCRIPTION = 252  # a parameter's length is one byte, and pointers too
-CALLED, CAUSE, USER_TO_USER = 0x04, 0x12, 0x20
-HEAD = struct.Struct("<HB")
+MAX_CALLED_DIGITS = 16
+MAX_DESCRIPTION = 252  # bytes; parameter lengths and pointers are one byte each
+
+# Parameter name codes (Q.763).
+CALLED_PARTY_NUMBER = 0x04
+CAUSE_INDICATORS = 0x12
+USER_TO_USER_INFORMATION = 0x20
+
+CIC_AND_TYPE = struct.Struct("<HB")  # circuit identification code, message type
 
 
 class Type(IntEnum):
-    """Message types."""
+    """Message type codes."""
 
     IAM = 0x01
     ACM = 0x06
@@ -28,87 +33,95 @@
 
 
 class IsupDecodeError(Exception):
-    """The message contradicts itself."""
+    """An ISUP message is truncated or lacks a mandatory parameter."""
 
 
 @dataclass(slots=True)
 class Message:
-    """One message of a circuit. What a type does not carry stays at its default."""
+    """A message about one circuit. Fields that its message type does not carry keep their defaults."""
 
     cic: int
     type: int
     number: str = ""
-    category: int = 10
-    cause: int = 16
+    category: int = 10  # calling party's category: ordinary subscriber
+    cause: int = 16  # Q.850: normal call clearing
     description: bytes = b""
 
 
 def encode(message: Message) -> bytes:
-    """One message; fixed part, mandatory variable part, optional part."""
-    head = HEAD.pack(message.cic & 0xFFF, message.type)
+    """Encode a message: mandatory fixed part, mandatory variable part, optional part."""
+    header = CIC_AND_TYPE.pack(message.cic & 0xFFF, message.type)
     optional = b""
     if message.description and message.type in (Type.IAM, Type.ANM):
         if len(message.description) > MAX_DESCRIPTION:
             raise ValueError("description too long for user-to-user information")
-        optional = bytes([USER_TO_USER, len(message.description)]) + message.description + b"\0"
+        optional = bytes([USER_TO_USER_INFORMATION, len(message.description)]) + message.description + b"\0"
     if message.type == Type.IAM:
-        called = _digits(message.number)
+        called = _encode_called_number(message.number)
         variable = bytes([2, len(called) + 2 if optional else 0, len(called)]) + called
-        return head + bytes([0, 0x20, 0x01, message.category, 0]) + variable + optional
+        # nature of connection, forward call indicators (2), calling party's category, transmission medium
+        return header + bytes([0, 0x20, 0x01, message.category, 0]) + variable + optional
     if message.type == Type.ACM:
-        return head + bytes([0x16, 0x04, 0])
+        return header + bytes([0x16, 0x04, 0])  # backward call indicators (2), no optional part
     if message.type == Type.ANM:
-        return head + bytes([1 if optional else 0]) + optional
+        return header + bytes([1 if optional else 0]) + optional
     if message.type == Type.REL:
-        return head + bytes([2, 0, 2, 0x80, 0x80 | message.cause & 0x7F])
-    return head + (b"\0" if message.type == Type.RLC else b"")
+        # pointers to the cause indicators and to no optional part; length, location, cause value
+        return header + bytes([2, 0, 2, 0x80, 0x80 | message.cause & 0x7F])
+    return header + (b"\0" if message.type == Type.RLC else b"")
 
 
-def _digits(number: str) -> bytes:
+def _encode_called_number(number: str) -> bytes:
+    """The called party number: nature of address, numbering plan, digits in swapped pairs."""
     odd = len(number) % 2
     padded = number + "0" * odd
-    pairs = bytes(int(padded[at + 1] + padded[at], 16) for at in range(0, len(padded), 2))
+    pairs = bytes(int(padded[index + 1] + padded[index], 16) for index in range(0, len(padded), 2))
     return bytes([0x80 * odd | 0x03, 0x10]) + pairs
 
 
 def decode(data: bytes) -> Message:
-    """Read one message; unknown types come back with their head alone."""
+    """Decode a message; of unknown message types, only CIC and type."""
     try:
-        cic, kind = HEAD.unpack_from(data)
-        message = Message(cic & 0xFFF, kind)
-        if kind == Type.IAM:
-            message.category = data[HEAD.size + 3]
-            at = HEAD.size + 5
-            called = _variable(data, at)
+        cic, message_type = CIC_AND_TYPE.unpack_from(data)
+        message = Message(cic & 0xFFF, message_type)
+        if message_type == Type.IAM:
+            message.category = data[CIC_AND_TYPE.size + 3]
+            pointer_at = CIC_AND_TYPE.size + 5
+            called = _mandatory_variable_parameter(data, pointer_at)
             message.number = "".join(f"{byte & 15:x}{byte >> 4:x}" for byte in called[2:])
+            # the odd/even bit set: the last digit is filler
             message.number = message.number[: len(message.number) - (called[0] >> 7)]
-            message.description = _optional(data, at + 1).get(USER_TO_USER, b"")
-        elif kind == Type.ANM:
-            message.description = _optional(data, HEAD.size).get(USER_TO_USER, b"")
-        elif kind == Type.REL:
-            message.cause = _variable(data, HEAD.size)[1] & 0x7F
+            message.description = _optional_parameters(data, pointer_at + 1).get(
+                USER_TO_USER_INFORMATION, b""
+            )
+        elif message_type == Type.ANM:
+            message.description = _optional_parameters(data, CIC_AND_TYPE.size).get(
+                USER_TO_USER_INFORMATION, b""
+            )
+        elif message_type == Type.REL:
+            message.cause = _mandatory_variable_parameter(data, CIC_AND_TYPE.size)[1] & 0x7F
         return message
     except (IndexError, struct.error) as error:
-        raise IsupDecodeError(f"cut short: {error}") from error
+        raise IsupDecodeError(f"message truncated: {error}") from error
 
 
-def _variable(data: bytes, pointer_at: int) -> bytes:
-    at = pointer_at + data[pointer_at]
-    value = data[at + 1 : at + 1 + data[at]]
-    if len(value) < 2 or len(value) != data[at] or data[pointer_at] == 0:
-        raise IsupDecodeError("mandatory parameter missing or cut short")
+def _mandatory_variable_parameter(data: bytes, pointer_at: int) -> bytes:
+    offset = pointer_at + data[pointer_at]
+    value = data[offset + 1 : offset + 1 + data[offset]]
+    if len(value) < 2 or len(value) != data[offset] or data[pointer_at] == 0:
+        raise IsupDecodeError("mandatory parameter missing or truncated")
     return value
 
 
-def _optional(data: bytes, pointer_at: int) -> dict[int, bytes]:
+def _optional_parameters(data: bytes, pointer_at: int) -> dict[int, bytes]:
     values: dict[int, bytes] = {}
     if pointer_at >= len(data) or data[pointer_at] == 0:
         return values
-    at = pointer_at + data[pointer_at]
-    while data[at] != 0:
-        value = data[at + 2 : at + 2 + data[at + 1]]
-        if len(value) != data[at + 1]:
-            raise IsupDecodeError("optional parameter cut short")
-        values[data[at]] = value
-        at += 2 + len(value)
+    offset = pointer_at + data[pointer_at]
+    while data[offset] != 0:
+        value = data[offset + 2 : offset + 2 + data[offset + 1]]
+        if len(value) != data[offset + 1]:
+            raise IsupDecodeError("optional parameter truncated")
+        values[data[offset]] = value
+        offset += 2 + len(value)
     return values
