--- a/barleywheel/fronts/m3ua.py
+++ b/barleywheel/fronts/m3ua.py
@@ -1,8 +1,8 @@
-"""The second front: calls taken from and placed at exchanges that speak ISUP over M3UA over TCP.
+"""Front for exchanges: accepts and places calls by ISUP over M3UA over TCP.
 
-A peer is an exchange with its circuits; it outlives its links. A link is one TCP connection with the
-state of its ASP. Calls are keyed by OPC, DPC and CIC: the front has the own point code, the peer its
-one, and the circuit its CIC.
+A peer is a remote exchange with its circuits; its state is kept while it has no link. A link is one TCP
+connection with its ASP state. A call is identified by OPC, DPC and CIC: the front holds the local point
+code, the peer the remote one, and the circuit the CIC.
 """
 
 from __future__ import annotations
@@ -34,19 +34,19 @@
 from barleywheel.wire.m3ua import ErrorCode, MessageCode, Tag
 
 log = logging.getLogger(__name__)
-MAX_RELS = 3  # RELs sent for one release before the circuit is taken out of service
-CONGESTION_VALIDITY_US = 3_000_000  # how long an SCON counts unless it is told anew
+MAX_RELS = 3  # RELs sent for one release before the circuit is blocked
+CONGESTION_VALIDITY_US = 3_000_000  # how long an SCON applies unless it is repeated
 
 
 class CircuitState(Enum):
-    """State of a circuit."""
+    """State of a circuit, as this side sees it."""
 
     IDLE = "idle"
-    INCOMING = "in"  # IAM heard, not yet answered
+    INCOMING = "in"  # IAM received, not yet answered
     OUTGOING = "out"  # IAM sent, not yet answered
     ANSWERED = "up"
-    RELEASING = "releasing"  # REL sent or waiting for the link; RLC awaited
-    BLOCKED = "blocked"  # no RLC came: not used until the peer resets it
+    RELEASING = "releasing"  # REL sent, or queued until the link is active; RLC awaited
+    BLOCKED = "blocked"  # no RLC received: not used until the peer sends RLC, REL or RSC for it
 
 
 class AspState(Enum):
@@ -59,49 +59,49 @@
 
 @dataclass(eq=False)
 class Circuit:
-    """One circuit and the call on it."""
+    """A circuit and the call on it."""
 
     cic: int
     state: CircuitState = CircuitState.IDLE
-    ref: str = ""
-    attempt: Attempt | None = None  # OUT: what is answered by ANM or REL
-    cause: int = 16  # RELEASING: of the release
-    queued: bool = False  # RELEASING: waits for the link
-    sent: int = 0  # RELEASING: RELs sent
-    timer: DeadlineHandle | None = None
+    ref: str = ""  # of the call
+    attempt: Attempt | None = None  # OUTGOING: the attempt that ANM or REL will end
+    release_cause: int = 16  # RELEASING: cause in REL
+    rel_queued: bool = False  # RELEASING: REL to be sent when the link is active
+    rels_sent: int = 0  # RELEASING
+    rlc_timer: DeadlineHandle | None = None
 
 
 class Link(Connection):
-    """A connection and its ASP's state."""
+    """An M3UA connection and the state of its ASP."""
 
-    asp = AspState.DOWN
-    exchange: Peer | None = None
+    asp_state = AspState.DOWN
+    exchange: Peer | None = None  # set by ASPUP
     last_received_us = 0
 
 
 @dataclass(eq=False)
 class Peer:
-    """An exchange on the other side; the carrier of attempts there and the origin of its calls."""
+    """A remote exchange: the carrier of attempts placed there and the origin of its incoming calls."""
 
     front: M3uaFront
     conf: PeerConfig
     circuits: dict[int, Circuit] = field(default_factory=dict)
-    # The circuits that calls came in on; one that goes out over the same exchange has a second circuit here.
-    by_ref: dict[str, Circuit] = field(default_factory=dict)
+    # Circuits of incoming calls only: a call routed back to this exchange has an outgoing circuit as well.
+    incoming_by_ref: dict[str, Circuit] = field(default_factory=dict)
     link: Link | None = None
-    unavailable = False  # DUNA
-    congested_us = 0  # SCON
+    destination_unavailable = False  # set by DUNA, cleared by DAVA and ASPAC
+    congested_until_us = 0  # set by SCON
 
     def __post_init__(self) -> None:
         self.circuits = {cic: Circuit(cic) for cic in self.conf.circuits}
 
     @property
     def active(self) -> bool:
-        """Whether DATA may be sent."""
-        return self.link is not None and self.link.open and self.link.asp is AspState.ACTIVE
+        """Whether the ASP is active, so that DATA may be sent."""
+        return self.link is not None and self.link.open and self.link.asp_state is AspState.ACTIVE
 
     def send(self, message: isup.Message) -> bool:
-        """Send a message of a circuit; False if the link is not active."""
+        """Send an ISUP message in DATA; False if the ASP is not active."""
         if self.link is None or not self.active:
             return False
         conf = self.front.conf
@@ -117,26 +117,26 @@
     # Circuits.
 
     def controls_circuit(self, cic: int) -> bool:
-        """Whether we control a circuit at dual seizure: the higher point code has the even ones (Q.764)."""
+        """Whether this side keeps it at dual seizure: the higher point code has the even CICs (Q.764)."""
         return (self.front.conf.point_code > self.conf.point_code) == (cic % 2 == 0)
 
     def seize_circuit(self) -> Circuit | None:
-        """An idle circuit, one that we control if there is any; None when all are taken."""
+        """Select an idle circuit, preferably one that this side controls; None if there is none."""
         idle = [circuit for circuit in self.circuits.values() if circuit.state is CircuitState.IDLE]
         return min(idle, key=lambda circuit: not self.controls_circuit(circuit.cic)) if idle else None
 
     def free_circuit(self, circuit: Circuit) -> None:
-        """The circuit is idle again."""
-        if circuit.timer is not None:
-            self.front.deadlines.cancel(circuit.timer)
+        """Return a circuit to the idle state and report the available circuits."""
+        if circuit.rlc_timer is not None:
+            self.front.deadlines.cancel(circuit.rlc_timer)
         self._remove_reference(circuit)
-        # whoever still holds the old one must not release a later call by it
+        # Replaced by a new object: a stale reference to the old one must not release a later call.
         circuit.state = CircuitState.IDLE
         self.circuits[circuit.cic] = Circuit(circuit.cic)
         self.report_circuits()
 
     def report_circuits(self) -> None:
-        """Tell the module the circuits of the group, as a hub's NOTIFY does."""
+        """Report the idle circuits of the group to the routing decision, as the NOTIFY of a hub does."""
         if self.conf.cell is None:
             return
         idle = sum(circuit.state is CircuitState.IDLE for circuit in self.circuits.values())
@@ -144,43 +144,44 @@
             self.front.facade.report_load(hub, {"free": idle, "size": len(self.circuits)})
 
     def start_release(self, circuit: Circuit, cause: int) -> None:
-        """Send REL, or let it wait for the link; the circuit is taken until RLC."""
-        circuit.state, circuit.attempt, circuit.cause, circuit.sent = CircuitState.RELEASING, None, cause, 0
+        """Send REL, or queue it until the ASP is active; the circuit stays in use until RLC."""
+        circuit.state, circuit.attempt = CircuitState.RELEASING, None
+        circuit.release_cause, circuit.rels_sent = cause, 0
         self._remove_reference(circuit)
         self.send_rel(circuit)
 
     def _remove_reference(self, circuit: Circuit) -> None:
-        if self.by_ref.get(circuit.ref) is circuit:
-            del self.by_ref[circuit.ref]
+        if self.incoming_by_ref.get(circuit.ref) is circuit:
+            del self.incoming_by_ref[circuit.ref]
 
     def send_rel(self, circuit: Circuit) -> None:
-        """Send REL once and wait for its RLC, or queue it: it goes out when the ASP is active again."""
-        circuit.timer = None
+        """Send or queue REL, depending on the ASP state; block the circuit once MAX_RELS were sent."""
+        circuit.rlc_timer = None
         if circuit.state is not CircuitState.RELEASING:
             return
-        if circuit.sent >= MAX_RELS:
-            log.warning("circuit blocked, no RLC: peer=%d cic=%d", self.conf.point_code, circuit.cic)
+        if circuit.rels_sent >= MAX_RELS:
+            log.warning("circuit blocked, no RLC received: peer=%d cic=%d", self.conf.point_code, circuit.cic)
             circuit.state = CircuitState.BLOCKED
-        elif self.send(isup.Message(circuit.cic, isup.Type.REL, cause=circuit.cause)):
-            circuit.queued, circuit.sent = False, circuit.sent + 1
+        elif self.send(isup.Message(circuit.cic, isup.Type.REL, cause=circuit.release_cause)):
+            circuit.rel_queued, circuit.rels_sent = False, circuit.rels_sent + 1
             due = now_us() + self.front.conf.rlc_ms * 1000
-            circuit.timer = self.front.deadlines.schedule(due, partial(self.send_rel, circuit))
+            circuit.rlc_timer = self.front.deadlines.schedule(due, partial(self.send_rel, circuit))
         else:
-            circuit.queued = True
+            circuit.rel_queued = True
 
-    # The link.
+    # ASP state changes.
 
-    def handle_link_active(self) -> None:
-        """The ASP is active: what waits goes out, each release once."""
-        waiting = [circuit for circuit in self.circuits.values() if circuit.queued]
-        if waiting:
-            log.info("waiting releases sent: peer=%d count=%d", self.conf.point_code, len(waiting))
-        for circuit in waiting:
+    def handle_asp_active(self) -> None:
+        """Send each queued REL once."""
+        queued = [circuit for circuit in self.circuits.values() if circuit.rel_queued]
+        if queued:
+            log.info("sending queued RELs: peer=%d count=%d", self.conf.point_code, len(queued))
+        for circuit in queued:
             self.send_rel(circuit)
         self.report_circuits()
 
-    def handle_link_down(self) -> None:
-        """The ASP is no longer active: open set-ups end as reset, standing calls live on."""
+    def handle_asp_inactive(self) -> None:
+        """The ASP is no longer active: set-ups not yet answered end as reset, answered calls are kept."""
         for circuit in list(self.circuits.values()):
             ref = circuit.ref
             if circuit.state is CircuitState.OUTGOING and circuit.attempt is not None:
@@ -191,15 +192,15 @@
                 self.start_release(circuit, CAUSE_TEMPORARY_FAILURE)
                 self.front.call_manager.abandon(ref)
 
-    # Carrier.
+    # Carrier: calls placed at the exchange.
 
     def place(self, attempt: Attempt) -> None:
-        """Seize a circuit and send IAM."""
+        """Seize a circuit and send IAM, or end the attempt."""
         if not attempt.may_send(attempt.hub):
             attempt.finish(AttemptResult(AttemptStatus.NOT_SENT))
-        elif not self.active or self.unavailable:
+        elif not self.active or self.destination_unavailable:
             attempt.finish(AttemptResult(AttemptStatus.UNREACHABLE))
-        elif now_us() < self.congested_us:
+        elif now_us() < self.congested_until_us:
             attempt.finish(AttemptResult(AttemptStatus.REFUSED, RefusalReason.PROCESSOR_OVERLOADED))
         elif (circuit := self.seize_circuit()) is None:
             attempt.finish(AttemptResult(AttemptStatus.NOT_SENT, RefusalReason.NO_CIRCUIT))
@@ -215,8 +216,8 @@
                     description=request.description,
                 )
                 isup.encode(iam)
-            except ValueError as error:  # a description that this wire has no room for
-                log.warning("call can't be placed: ref=%s %s", request.ref, error)
+            except ValueError as error:  # the description is too long for user-to-user information
+                log.warning("call not placed, IAM not encodable: ref=%s %s", request.ref, error)
                 attempt.finish(AttemptResult(AttemptStatus.ERROR))
                 return
             attempt.sent_us, attempt.carrier_state = now_us(), circuit
@@ -228,29 +229,29 @@
                 self.free_circuit(circuit)
 
     def cancel(self, attempt: Attempt) -> None:
-        """Give up a set-up: its circuit is released."""
+        """Release the circuit of an attempt that has ended on this side."""
         circuit = attempt.carrier_state
         if isinstance(circuit, Circuit) and circuit.attempt is attempt and attempt.result is not None:
             self.start_release(circuit, causes.TO_CAUSE[attempt.result.status])
 
     def release(self, leg: Leg, cause: int) -> None:
-        """Take down a call that stands: one that we placed."""
+        """Release an answered call that was placed at this exchange."""
         circuit = leg.carrier_state
         if isinstance(circuit, Circuit) and circuit.state is CircuitState.ANSWERED and circuit.ref == leg.ref:
             self.start_release(circuit, cause)
 
-    # Origin.
+    # Origin: calls received from the exchange.
 
     def answer(self, request: Request, description: bytes) -> bool:
-        """ANM: the call stands. Where it can't be sent, the call is released instead."""
-        circuit = self.by_ref.get(request.ref)
+        """Send ANM; False if it was not sent. If it cannot be encoded, the call is released."""
+        circuit = self.incoming_by_ref.get(request.ref)
         if circuit is None or circuit.state is not CircuitState.INCOMING:
             return False
         try:
             anm = isup.Message(circuit.cic, isup.Type.ANM, description=description)
             sent = self.send(anm)
         except ValueError as error:
-            log.warning("answer can't be passed on: ref=%s %s", request.ref, error)
+            log.warning("answer not passed on, ANM not encodable: ref=%s %s", request.ref, error)
             self.start_release(circuit, causes.INTERWORKING)
             return False
         if sent:
@@ -258,28 +259,28 @@
         return sent
 
     def reject(self, request: Request, rejection: Rejection) -> None:
-        """REL in place of an answer."""
-        circuit = self.by_ref.get(request.ref)
+        """Send REL in place of ANM."""
+        circuit = self.incoming_by_ref.get(request.ref)
         if circuit is not None and circuit.state is CircuitState.INCOMING:
             self.start_release(circuit, rejection.cause)
 
 
 class IncomingOrigin:
-    """The origin of one peer's calls; a release goes to the circuit that the call is on."""
+    """The origin of the calls received from one peer; ``release`` finds the circuit by the call reference."""
 
     def __init__(self, peer: Peer) -> None:
         self.peer = peer
         self.answer, self.reject = peer.answer, peer.reject
 
     def release(self, ref: str, cause: int) -> None:
-        """A call that stood is over."""
-        circuit = self.peer.by_ref.get(ref)
+        """Release an answered call."""
+        circuit = self.peer.incoming_by_ref.get(ref)
         if circuit is not None and circuit.state is CircuitState.ANSWERED:
             self.peer.start_release(circuit, cause)
 
 
 class M3uaFront:
-    """Listens for the peers' ASPs; they come up, become active and carry calls."""
+    """Accepts M3UA links from the configured peers; handles their ASP, network status and ISUP messages."""
 
     def __init__(
         self, conf: M3uaConfig, call_manager: CallManager, facade: ControllerFacade, deadlines: Deadlines
@@ -289,22 +290,22 @@
         self.origins = {code: IncomingOrigin(peer) for code, peer in self.peers.items()}
         self.links: set[Link] = set()
         self._listener: sockets.Listener | None = None
-        self._categories = {item.category: name for name, item in conf.classes.items()}
+        self._class_names_by_category = {item.category: name for name, item in conf.classes.items()}
         for peer in self.peers.values():
             if peer.conf.cell is not None:
                 call_manager.carriers[peer.conf.cell] = peer
 
     def category(self, class_name: str) -> int:
-        """The calling party's category that stands for a class."""
-        found = self.conf.classes.get(class_name)
-        return found.category if found else 10
+        """The calling party's category of a class; 10, ordinary subscriber, if none is configured."""
+        class_config = self.conf.classes.get(class_name)
+        return class_config.category if class_config else 10
 
     def listen(self) -> None:
         """Open the listening socket."""
         self._listener = sockets.listen(self.conf.listen, 64)
 
     def run(self) -> None:
-        """Accept for ever."""
+        """Accept connections until the process ends."""
         assert self._listener is not None
         while True:
             try:
@@ -314,7 +315,7 @@
                 runtime.sleep(0.05)
                 continue
             if len(self.links) >= 2 * len(self.peers):
-                log.warning("connection closed, too many links: peer=%s:%d", *address)
+                log.warning("connection closed, too many links open: peer=%s:%d", *address)
                 sock.close()
                 continue
             link = Link(sock, f"{address[0]}:{address[1]}", self.deadlines, self.conf.up_ms * 1000, False)
@@ -325,49 +326,49 @@
     def _serve(self, link: Link) -> None:
         self.links.add(link)
         link.last_received_us = now_us()
-        self.deadlines.schedule(now_us() + self.conf.up_ms * 1000, partial(self._close_if_down, link))
+        self.deadlines.schedule(now_us() + self.conf.up_ms * 1000, partial(self._close_if_asp_down, link))
         self._send_beat(link)
         for message in link.messages(m3ua.parse_next):
             link.last_received_us = now_us()
             try:
                 self._handle_message(link, message)
-            except Exception:  # one peer's message may not end the process
-                log.exception("message of a peer not understood: peer=%s", link.peer)
+            except Exception:  # a message of one peer must not stop the service of the others
+                log.exception("error while handling an M3UA message: peer=%s", link.peer)
         self.links.discard(link)
-        self._leave_state(link, AspState.DOWN)
+        self._lower_asp_state(link, AspState.DOWN)
 
-    def _close_if_down(self, link: Link) -> None:
-        if link.open and link.asp is AspState.DOWN:
-            log.warning("link closed, no ASPUP in time: peer=%s", link.peer)
+    def _close_if_asp_down(self, link: Link) -> None:
+        if link.open and link.asp_state is AspState.DOWN:
+            log.warning("link closed, no ASPUP received in time: peer=%s", link.peer)
             link.close()
 
     def _send_beat(self, link: Link) -> None:
-        """Send BEAT; a link that says nothing for two periods is closed."""
+        """Send BEAT periodically; close the link if nothing was received for two periods."""
         if not link.open:
             return
-        period = self.conf.beat_ms * 1000
-        if now_us() - link.last_received_us >= 2 * period:
-            log.warning("link closed, no answer to BEAT: peer=%s", link.peer)
+        period_us = self.conf.beat_ms * 1000
+        if now_us() - link.last_received_us >= 2 * period_us:
+            log.warning("link closed, nothing received for two BEAT periods: peer=%s", link.peer)
             link.close()
             return
-        if link.asp is not AspState.DOWN:
+        if link.asp_state is not AspState.DOWN:
             link.write(m3ua.encode(MessageCode.BEAT, {Tag.HEARTBEAT_DATA: now_us().to_bytes(8, "big")}))
-        self.deadlines.schedule(now_us() + period, partial(self._send_beat, link))
+        self.deadlines.schedule(now_us() + period_us, partial(self._send_beat, link))
 
-    def _leave_state(self, link: Link, state: AspState) -> None:
-        """The ASP leaves the active state, or the link is gone."""
-        peer, was = link.exchange, link.asp
-        link.asp = state
+    def _lower_asp_state(self, link: Link, state: AspState) -> None:
+        """Set the ASP state to inactive, or to down if the peer asks for it or the link has closed."""
+        peer, old_state = link.exchange, link.asp_state
+        link.asp_state = state
         if peer is None or peer.link is not link:
             return
         if state is AspState.DOWN:
             peer.link = None
-        if was is AspState.ACTIVE:
-            log.info("link down: peer=%d", peer.conf.point_code)
-            peer.handle_link_down()
+        if old_state is AspState.ACTIVE:
+            log.info("link down, ASP no longer active: peer=%d", peer.conf.point_code)
+            peer.handle_asp_inactive()
 
     def _send_error(self, link: Link, error: ErrorCode) -> None:
-        log.warning("error sent: peer=%s code=%s", link.peer, error.name)
+        log.warning("M3UA error sent: peer=%s code=%s", link.peer, error.name)
         link.write(m3ua.encode(MessageCode.ERR, {Tag.ERROR_CODE: error.to_bytes(4, "big")}))
 
     def _handle_message(self, link: Link, message: m3ua.Message) -> None:
@@ -382,7 +383,7 @@
             case MessageCode.ASPUP:
                 self._handle_aspup(link, message)
             case MessageCode.ASPDN:
-                self._leave_state(link, AspState.DOWN)
+                self._lower_asp_state(link, AspState.DOWN)
                 link.write(m3ua.encode(MessageCode.ASPDN_ACK))
             case MessageCode.BEAT:
                 data = message.parameters.get(Tag.HEARTBEAT_DATA)
@@ -392,16 +393,22 @@
             case MessageCode.BEAT_ACK | MessageCode.NTFY:
                 pass
             case MessageCode.ERR:
-                log.warning("error heard: peer=%s code=%s", link.peer, message.number(Tag.ERROR_CODE))
-            case MessageCode.ASPAC | MessageCode.ASPIA if link.exchange is None or link.asp is AspState.DOWN:
+                log.warning("M3UA error received: peer=%s code=%s", link.peer, message.number(Tag.ERROR_CODE))
+            case (
+                MessageCode.ASPAC
+                | MessageCode.ASPIA
+            ) if link.exchange is None or link.asp_state is AspState.DOWN:
                 self._send_error(link, ErrorCode.UNEXPECTED_MESSAGE)
             case MessageCode.ASPAC:
                 self._activate(link)
             case MessageCode.ASPIA:
-                self._leave_state(link, AspState.INACTIVE)
-                link.write(m3ua.encode(MessageCode.ASPIA_ACK, self._context()))
+                self._lower_asp_state(link, AspState.INACTIVE)
+                link.write(m3ua.encode(MessageCode.ASPIA_ACK, self._routing_context()))
                 link.write(
-                    m3ua.encode(MessageCode.NTFY, self._context() | {Tag.STATUS: m3ua.AS_PENDING_STATUS})
+                    m3ua.encode(
+                        MessageCode.NTFY,
+                        self._routing_context() | {Tag.STATUS: m3ua.AS_PENDING_STATUS},
+                    )
                 )
             case MessageCode.DATA:
                 self._handle_data(link, message)
@@ -411,7 +418,8 @@
                 link.write(
                     m3ua.encode(
                         MessageCode.DAVA,
-                        self._context() | {Tag.AFFECTED_POINT_CODES: self.conf.point_code.to_bytes(4, "big")},
+                        self._routing_context()
+                        | {Tag.AFFECTED_POINT_CODES: self.conf.point_code.to_bytes(4, "big")},
                     )
                 )
             case code if code >> 8 in (0, 1, 2, 3, 4):
@@ -419,59 +427,65 @@
             case _:
                 self._send_error(link, ErrorCode.UNSUPPORTED_CLASS)
 
-    def _context(self) -> dict[Tag, bytes]:
+    def _routing_context(self) -> dict[Tag, bytes]:
         return {Tag.ROUTING_CONTEXT: self.conf.routing_context.to_bytes(4, "big")}
 
     def _handle_aspup(self, link: Link, message: m3ua.Message) -> None:
-        number = message.number(Tag.ASP_IDENTIFIER)
-        found = [peer for peer in self.peers.values() if peer.conf.asp == number] or (
-            list(self.peers.values()) if number is None and len(self.peers) == 1 else []
+        asp_identifier = message.number(Tag.ASP_IDENTIFIER)
+        # ASPUP without an ASP identifier: a peer configured without one, or the only peer.
+        matches = [peer for peer in self.peers.values() if peer.conf.asp == asp_identifier] or (
+            list(self.peers.values()) if asp_identifier is None and len(self.peers) == 1 else []
         )
-        if not found:
+        if not matches:
             self._send_error(link, ErrorCode.NO_AS_FOR_ASP)
             return
-        # ASPUP on an active link takes it back to inactive (RFC 4666, 4.3.4.1)
-        if link.asp is AspState.ACTIVE:
-            self._leave_state(link, AspState.INACTIVE)
-        link.exchange, link.asp = found[0], AspState.INACTIVE
+        # ASPUP while active sets the ASP back to inactive (RFC 4666, 4.3.4.1).
+        if link.asp_state is AspState.ACTIVE:
+            self._lower_asp_state(link, AspState.INACTIVE)
+        link.exchange, link.asp_state = matches[0], AspState.INACTIVE
         link.write(m3ua.encode(MessageCode.ASPUP_ACK))
-        link.write(m3ua.encode(MessageCode.NTFY, self._context() | {Tag.STATUS: m3ua.AS_INACTIVE_STATUS}))
+        link.write(
+            m3ua.encode(MessageCode.NTFY, self._routing_context() | {Tag.STATUS: m3ua.AS_INACTIVE_STATUS})
+        )
 
     def _activate(self, link: Link) -> None:
         peer = link.exchange
         assert peer is not None
-        old = peer.link
-        if old is not None and old is not link:  # the peer came back before its old link was seen to end
-            self._leave_state(old, AspState.DOWN)
-            old.close()
-        again = link.asp is AspState.ACTIVE
-        peer.link, link.asp, peer.unavailable = link, AspState.ACTIVE, False
-        link.write(m3ua.encode(MessageCode.ASPAC_ACK, self._context()))
-        if not again:
-            link.write(m3ua.encode(MessageCode.NTFY, self._context() | {Tag.STATUS: m3ua.AS_ACTIVE_STATUS}))
+        old_link = peer.link
+        # the peer reconnected before the end of its old link was detected
+        if old_link is not None and old_link is not link:
+            self._lower_asp_state(old_link, AspState.DOWN)
+            old_link.close()
+        was_active = link.asp_state is AspState.ACTIVE
+        peer.link, link.asp_state, peer.destination_unavailable = link, AspState.ACTIVE, False
+        link.write(m3ua.encode(MessageCode.ASPAC_ACK, self._routing_context()))
+        if not was_active:
+            link.write(
+                m3ua.encode(MessageCode.NTFY, self._routing_context() | {Tag.STATUS: m3ua.AS_ACTIVE_STATUS})
+            )
             log.info("link active: peer=%d", peer.conf.point_code)
-            peer.handle_link_active()
+            peer.handle_asp_active()
 
     def _handle_network_status(self, link: Link, message: m3ua.Message) -> None:
-        points = message.point_codes()
-        if not points:
+        point_codes = message.point_codes()
+        if not point_codes:
             self._send_error(link, ErrorCode.MISSING_PARAMETER)
-        for point in points:
-            peer = self.peers.get(point)
-            if peer is None or link.asp is not AspState.ACTIVE:
+        for point_code in point_codes:
+            peer = self.peers.get(point_code)
+            if peer is None or link.asp_state is not AspState.ACTIVE:
                 continue
-            log.info("network news: peer=%d %s", point, MessageCode(message.code).name)
+            log.info("network status received: peer=%d %s", point_code, MessageCode(message.code).name)
             if message.code == MessageCode.SCON:
-                quiet = message.number(Tag.CONGESTION_INDICATIONS) == 0
-                peer.congested_us = 0 if quiet else now_us() + CONGESTION_VALIDITY_US
+                congestion_over = message.number(Tag.CONGESTION_INDICATIONS) == 0  # level 0: no congestion
+                peer.congested_until_us = 0 if congestion_over else now_us() + CONGESTION_VALIDITY_US
             else:
-                peer.unavailable = message.code == MessageCode.DUNA
+                peer.destination_unavailable = message.code == MessageCode.DUNA
 
     # Calls.
 
     def _handle_data(self, link: Link, message: m3ua.Message) -> None:
         transfer = m3ua.decode_transfer(message)
-        if link.asp is not AspState.ACTIVE:
+        if link.asp_state is not AspState.ACTIVE:
             self._send_error(link, ErrorCode.UNEXPECTED_MESSAGE)
             return
         if transfer is None:
@@ -485,7 +499,7 @@
             or (transfer.si != m3ua.ISUP_SERVICE_INDICATOR)
         ):
             log.warning(
-                "message for nobody here dropped: peer=%s opc=%d dpc=%d si=%d",
+                "DATA dropped, unexpected point code or service indicator: peer=%s opc=%d dpc=%d si=%d",
                 link.peer,
                 transfer.opc,
                 transfer.dpc,
@@ -493,93 +507,99 @@
             )
             return
         try:
-            heard = isup.decode(transfer.user)
+            isup_message = isup.decode(transfer.user)
         except isup.IsupDecodeError as error:
-            log.warning("ISUP message dropped: peer=%d %s", transfer.opc, error)
+            log.warning("malformed ISUP message dropped: peer=%d %s", transfer.opc, error)
             return
-        circuit = peer.circuits.get(heard.cic)
+        circuit = peer.circuits.get(isup_message.cic)
         if circuit is None:
-            log.warning("circuit not equipped: peer=%d cic=%d", transfer.opc, heard.cic)
+            log.warning(
+                "ISUP message dropped, circuit not equipped: peer=%d cic=%d", transfer.opc, isup_message.cic
+            )
             return
-        match heard.type:
+        match isup_message.type:
             case isup.Type.IAM:
-                self._handle_iam(peer, circuit, heard)
+                self._handle_iam(peer, circuit, isup_message)
             case isup.Type.ANM:
-                self._handle_anm(peer, circuit, heard)
+                self._handle_anm(peer, circuit, isup_message)
             case isup.Type.REL | isup.Type.RSC:
-                self._handle_rel(peer, circuit, heard)
+                self._handle_rel(peer, circuit, isup_message)
             case isup.Type.RLC:
-                # One that came too late proves as well that the peer holds the circuit idle.
-                if circuit.state in (CircuitState.RELEASING, CircuitState.BLOCKED) and not circuit.queued:
+                # A late RLC also shows that the peer regards the circuit as idle, so it frees a blocked one.
+                if circuit.state in (CircuitState.RELEASING, CircuitState.BLOCKED) and not circuit.rel_queued:
                     peer.free_circuit(circuit)
             case isup.Type.ACM:
-                pass  # progress
+                pass  # progress only: the set-up goes on
             case _:
-                log.info("ISUP message not used: peer=%d type=%d", transfer.opc, heard.type)
+                log.info(
+                    "ISUP message of unsupported type ignored: peer=%d type=%d",
+                    transfer.opc,
+                    isup_message.type,
+                )
 
-    def _handle_iam(self, peer: Peer, circuit: Circuit, heard: isup.Message) -> None:
+    def _handle_iam(self, peer: Peer, circuit: Circuit, isup_message: isup.Message) -> None:
         if circuit.state is CircuitState.OUTGOING and not peer.controls_circuit(circuit.cic):
             self._yield_circuit(peer, circuit)
             circuit = peer.circuits[circuit.cic]
         if circuit.state is not CircuitState.IDLE:
-            # Dual seizure of a circuit that we control, or a repeat: the other side backs off.
-            log.info("IAM on a taken circuit dropped: peer=%d cic=%d", peer.conf.point_code, circuit.cic)
+            # Dual seizure of a circuit that this side controls, or a repeated IAM: the peer yields.
+            log.info("IAM dropped, circuit not idle: peer=%d cic=%d", peer.conf.point_code, circuit.cic)
             return
-        class_name = self._categories.get(heard.category, "")
-        known = self.conf.classes.get(class_name)
+        class_name = self._class_names_by_category.get(isup_message.category, "")
+        class_config = self.conf.classes.get(class_name)
         ref = runtime.token()
         circuit.state, circuit.ref = CircuitState.INCOMING, ref
-        peer.by_ref[ref] = circuit
+        peer.incoming_by_ref[ref] = circuit
         peer.report_circuits()
         peer.send(isup.Message(circuit.cic, isup.Type.ACM))
         self.call_manager.accept(
             Request(
                 ref=ref,
                 class_name=class_name,
-                time_left_us=known.patience_ms * 1000 if known else 0,
-                destination=self._destination(heard.number),
-                called_number=heard.number,
-                description=heard.description,
+                time_left_us=class_config.patience_ms * 1000 if class_config else 0,
+                destination=self._destination(isup_message.number),
+                called_number=isup_message.number,
+                description=isup_message.description,
                 received_us=now_us(),
                 origin=self.origins[peer.conf.point_code],
             )
         )
 
     def _destination(self, number: str) -> int:
-        """The cell of the longest prefix that fits; -1 for none."""
-        if not 0 < len(number) <= isup.MAX_CALLED_DIGITS:  # what hubs take: they close on anything else
+        """The exchange number of the longest matching prefix; -1 if none matches."""
+        if not 0 < len(number) <= isup.MAX_CALLED_DIGITS:  # hubs close the connection on any other
             return -1
-        fits = [prefix for prefix in self.conf.numbers if number.startswith(prefix)]
-        return self.conf.numbers[max(fits, key=len)] if fits else -1
+        matching = [prefix for prefix in self.conf.numbers if number.startswith(prefix)]
+        return self.conf.numbers[max(matching, key=len)] if matching else -1
 
     def _yield_circuit(self, peer: Peer, circuit: Circuit) -> None:
-        """Dual seizure lost: our set-up goes on over another circuit, if there is one."""
+        """Yield a circuit to the peer after dual seizure; the attempt seizes another one, if any is idle."""
         attempt = circuit.attempt
-        log.info("dual seizure lost: peer=%d cic=%d", peer.conf.point_code, circuit.cic)
+        log.info("dual seizure, circuit yielded: peer=%d cic=%d", peer.conf.point_code, circuit.cic)
         peer.free_circuit(circuit)
         if attempt is not None and not attempt.has_ended:
-            # not for the new try: the peer's call has it
+            # blocked meanwhile, so that the attempt does not seize it again: the peer's call uses it
             peer.circuits[circuit.cic].state = CircuitState.BLOCKED
             peer.place(attempt)
             peer.circuits[circuit.cic].state = CircuitState.IDLE
 
-    def _handle_anm(self, peer: Peer, circuit: Circuit, heard: isup.Message) -> None:
+    def _handle_anm(self, peer: Peer, circuit: Circuit, isup_message: isup.Message) -> None:
         attempt = circuit.attempt
         if circuit.state is CircuitState.OUTGOING and attempt is not None:
             circuit.attempt = None
             circuit.state = CircuitState.ANSWERED
             if not attempt.finish(
-                AttemptResult(AttemptStatus.ANSWERED, description=heard.description, at_us=now_us())
+                AttemptResult(AttemptStatus.ANSWERED, description=isup_message.description, at_us=now_us())
             ):
-                # the answer came in the turn in which the attempt was given up
+                # the attempt was given up in this turn, and cancel() had not yet released the circuit
                 peer.start_release(circuit, 16)
 
-    def _handle_rel(self, peer: Peer, circuit: Circuit, heard: isup.Message) -> None:
-        """The peer releases, or resets, a circuit: RLC, and whatever was on it is over."""
+    def _handle_rel(self, peer: Peer, circuit: Circuit, isup_message: isup.Message) -> None:
+        """Handle REL or RSC: answer with RLC and end the attempt or call on the circuit."""
         state, ref, attempt = circuit.state, circuit.ref, circuit.attempt
         peer.free_circuit(circuit)
         peer.send(isup.Message(circuit.cic, isup.Type.RLC))
-        cause = heard.cause if heard.type == isup.Type.REL else CAUSE_TEMPORARY_FAILURE
+        cause = isup_message.cause if isup_message.type == isup.Type.REL else CAUSE_TEMPORARY_FAILURE
         if state is CircuitState.OUTGOING and attempt is not None:
             status, reason = causes.from_cause(cause)
             attempt.finish(AttemptResult(status, reason, at_us=now_us()))
@@ -592,5 +612,5 @@
             else:
                 self.call_manager.established.release_from_caller(ref, cause)
         elif state is CircuitState.ANSWERED and peer.conf.cell is not None:
-            for hub in self.facade.hubs_of(peer.conf.cell):  # answered a moment ago, not yet passed on
+            for hub in self.facade.hubs_of(peer.conf.cell):  # the answer is not passed to the caller yet
                 self.call_manager.handle_hub_release(hub, ref, cause)
--- a/barleywheel/fuzz/plants.py
+++ b/barleywheel/fuzz/plants.py
@@ -101,8 +101,8 @@
         "circuit not freed",
         "circuits",
         "fronts/m3ua.py",
-        "if circuit.state in (CircuitState.RELEASING, CircuitState.BLOCKED) and not circuit.queued:",
-        "if circuit.state is CircuitState.BLOCKED and not circuit.queued:",
+        "if circuit.state in (CircuitState.RELEASING, CircuitState.BLOCKED) and not circuit.rel_queued:",
+        "if circuit.state is CircuitState.BLOCKED and not circuit.rel_queued:",
     ),
     PlantedFault(
         "circuit given twice",
--- a/barleywheel/snmp/agent.py
+++ b/barleywheel/snmp/agent.py
@@ -80,7 +80,7 @@
             found[HUBS + (1, 4, row)] = v2c.Integer32(1 if router.facade.is_ready(key) else 2)
             found[HUBS + (1, 5, row)] = gauge(len(hub.connections) if hub else 0)
         for code, peer in (router.m3ua.peers if router.m3ua else {}).items():
-            state = peer.link.asp.value if peer.link else "down"
+            state = peer.link.asp_state.value if peer.link else "down"
             found[LINKS + (1, 2, code)] = v2c.Integer32(LINK_STATES[state])
             found[LINKS + (1, 3, code)] = gauge(len(peer.circuits))
             found[LINKS + (1, 4, code)] = gauge(sum(c.state.value != "idle" for c in peer.circuits.values()))
--- a/tests/test_m3ua.py
+++ b/tests/test_m3ua.py
@@ -266,9 +266,9 @@
         peer.connect().send_iam(1, DESCRIPTION, category=9)
         for _ in range(3):
             peer.receive_isup(REL, 1)
-        harness.wait_for(lambda: "circuit blocked" in harness.log_text())
+        harness.wait_for(lambda: "circuit blocked, no RLC received" in harness.log_text())
         peer.send_iam(1, DESCRIPTION, category=9)
-        harness.wait_for(lambda: "taken circuit" in harness.log_text())
+        harness.wait_for(lambda: "IAM dropped, circuit not idle" in harness.log_text())
 
 
 def test_the_asps_states_and_their_errors(tmp_path: Path) -> None:
@@ -334,7 +334,7 @@
     with front(tmp_path, Hub("h1", 1), beat_ms=100) as (harness, peer):
         peer.connect()
         peer.receive(m3ua_harness.BEAT)
-        harness.wait_for(lambda: "no answer to BEAT" in harness.log_text())
+        harness.wait_for(lambda: "link closed, nothing received for two BEAT periods" in harness.log_text())
 
 
 @pytest.mark.parametrize(
