--- a/barleywheel/snmp/__init__.py
+++ b/barleywheel/snmp/__init__.py
@@ -1,1 +1,1 @@
-"""The SNMP agent, off unless an operator sets it up."""
+"""SNMP agent; off unless configured."""
--- a/barleywheel/snmp/agent.py
+++ b/barleywheel/snmp/agent.py
@@ -1,6 +1,6 @@
-"""The agent: SNMPv2c over UDP, GET, GETNEXT and GETBULK, read-only. See BARLEYWHEEL-MIB.txt.
+"""Read-only SNMPv2c agent over UDP: GET, GETNEXT and GETBULK on the objects of BARLEYWHEEL-MIB.txt.
 
-BER and the messages come from pysnmp; this module is imported only where the agent is set up.
+Messages are encoded and decoded by pysnmp, so this module is imported only if the agent is configured.
 """
 
 from __future__ import annotations
@@ -23,131 +23,144 @@
 
 log = logging.getLogger(__name__)
 Oid = tuple[int, ...]
-SYSTEM: Oid = (1, 3, 6, 1, 2, 1, 1)
-ROOT: Oid = (1, 3, 6, 1, 4, 1, 8072, 9999, 9999, 3868)
-CALLS, REJECTED, OUTCOMES, HUBS, LINKS = (ROOT + (number,) for number in (1, 2, 3, 4, 5))
-MOST_DATAGRAM = 4096  # bytes of a question; BER of 64 KiB would take the processor for a second
-MOST_VARBINDS = 64  # more than this of a GETBULK would not fit a datagram
-LINK_STATES = {"down": 1, "inactive": 2, "active": 3}
+SYSTEM_OID: Oid = (1, 3, 6, 1, 2, 1, 1)
+ROUTER_OID: Oid = (1, 3, 6, 1, 4, 1, 8072, 9999, 9999, 3868)
+CALLS_OID: Oid = ROUTER_OID + (1,)
+REJECTED_OID: Oid = ROUTER_OID + (2,)
+OUTCOMES_OID: Oid = ROUTER_OID + (3,)
+HUBS_OID: Oid = ROUTER_OID + (4,)
+LINKS_OID: Oid = ROUTER_OID + (5,)
+MAX_REQUEST_BYTES = 4096  # decoding 64 KiB of BER would take about a second of processor time
+MAX_BULK_VARBINDS = 64  # a longer GETBULK response would not fit into a datagram
+LINK_STATE_NUMBERS = {"down": 1, "inactive": 2, "active": 3}
 
 
 class Agent:
-    """Answers from what the router's parts count and hold."""
+    """Answers SNMP requests from the counters and the state of the router."""
 
     def __init__(self, router: Router, listen: str, community: str) -> None:
         self.router, self.community = router, community.encode()
         self.started_us = now_us()
-        self.hub_numbers: dict[bytes, int] = {}
+        self.hub_rows: dict[bytes, int] = {}  # bwHubIndex by hub; kept while the router runs
         self.sock = sockets.datagrams(listen)
 
     def run(self) -> None:
-        """Answer for ever."""
+        """Answer requests until the process ends."""
         while True:
             data, peer = self.sock.recvfrom(65535)
             try:
-                answer = self.answer(data)
-                if answer is not None:
-                    self.sock.sendto(answer, peer)
-            except Exception as error:  # no datagram may end the agent
+                response = self.answer(data)
+                if response is not None:
+                    self.sock.sendto(response, peer)
+            except Exception as error:  # a malformed request must not stop the agent
                 log.warning("SNMP message dropped: peer=%s:%d %s", *peer[:2], type(error).__name__)
 
-    def view(self) -> dict[Oid, Any]:
-        """All objects as they are now."""
+    def collect_objects(self) -> dict[Oid, Any]:
+        """Read the current value of every object."""
         router, call_manager = self.router, self.router.call_manager
         counts, gauge, counter = call_manager.counts, v2c.Gauge32, v2c.Counter32
-        found: dict[Oid, Any] = {
-            SYSTEM + (1, 0): v2c.OctetString("barleywheel call router"),
-            SYSTEM + (3, 0): v2c.TimeTicks((now_us() - self.started_us) // 10_000 & 0xFFFFFFFF),
-            CALLS + (1, 0): counter(counts["calls"] & 0xFFFFFFFF),
-            CALLS + (2, 0): counter(counts["stood"] & 0xFFFFFFFF),
-            CALLS + (3, 0): counter(counts["abandoned"] & 0xFFFFFFFF),
-            CALLS + (4, 0): gauge(len(call_manager.open_calls)),
-            CALLS + (5, 0): gauge(len(router.established.legs)),
-            CALLS + (6, 0): counter(counts["attempts"] & 0xFFFFFFFF),
-            CALLS + (7, 0): v2c.Integer32(1 if router.journal.alive else 2),
+        objects: dict[Oid, Any] = {
+            SYSTEM_OID + (1, 0): v2c.OctetString("barleywheel call router"),
+            SYSTEM_OID + (3, 0): v2c.TimeTicks((now_us() - self.started_us) // 10_000 & 0xFFFFFFFF),
+            CALLS_OID + (1, 0): counter(counts["calls"] & 0xFFFFFFFF),
+            CALLS_OID + (2, 0): counter(counts["stood"] & 0xFFFFFFFF),
+            CALLS_OID + (3, 0): counter(counts["abandoned"] & 0xFFFFFFFF),
+            CALLS_OID + (4, 0): gauge(len(call_manager.open_calls)),
+            CALLS_OID + (5, 0): gauge(len(router.established.legs)),
+            CALLS_OID + (6, 0): counter(counts["attempts"] & 0xFFFFFFFF),
+            CALLS_OID + (7, 0): v2c.Integer32(1 if router.journal.alive else 2),
         }
         for name, count in counts.items():
             if name.startswith("rejected."):
-                found[REJECTED + (1, 2, int(name[9:]))] = counter(count & 0xFFFFFFFF)
+                objects[REJECTED_OID + (1, 2, int(name[9:]))] = counter(count & 0xFFFFFFFF)
         for number, status in enumerate(AttemptStatus, 1):
-            found[OUTCOMES + (1, 2, number)] = v2c.OctetString(status.value)
-            found[OUTCOMES + (1, 3, number)] = counter(counts[f"outcome.{status.value}"] & 0xFFFFFFFF)
+            objects[OUTCOMES_OID + (1, 2, number)] = v2c.OctetString(status.value)
+            objects[OUTCOMES_OID + (1, 3, number)] = counter(counts[f"outcome.{status.value}"] & 0xFFFFFFFF)
         for key, entry in router.facade.entries.items():
-            row = self.hub_numbers.setdefault(key, len(self.hub_numbers) + 1)
+            row = self.hub_rows.setdefault(key, len(self.hub_rows) + 1)
             hub = router.hubs.hubs.get(key)
-            found[HUBS + (1, 2, row)] = v2c.OctetString(key)
-            found[HUBS + (1, 3, row)] = v2c.Integer32(entry.cell)
-            found[HUBS + (1, 4, row)] = v2c.Integer32(1 if router.facade.is_ready(key) else 2)
-            found[HUBS + (1, 5, row)] = gauge(len(hub.connections) if hub else 0)
+            objects[HUBS_OID + (1, 2, row)] = v2c.OctetString(key)
+            objects[HUBS_OID + (1, 3, row)] = v2c.Integer32(entry.cell)
+            objects[HUBS_OID + (1, 4, row)] = v2c.Integer32(1 if router.facade.is_ready(key) else 2)
+            objects[HUBS_OID + (1, 5, row)] = gauge(len(hub.connections) if hub else 0)
         for code, peer in (router.m3ua.peers if router.m3ua else {}).items():
             state = peer.link.asp_state.value if peer.link else "down"
-            found[LINKS + (1, 2, code)] = v2c.Integer32(LINK_STATES[state])
-            found[LINKS + (1, 3, code)] = gauge(len(peer.circuits))
-            found[LINKS + (1, 4, code)] = gauge(sum(c.state.value != "idle" for c in peer.circuits.values()))
-        return found
+            objects[LINKS_OID + (1, 2, code)] = v2c.Integer32(LINK_STATE_NUMBERS[state])
+            objects[LINKS_OID + (1, 3, code)] = gauge(len(peer.circuits))
+            objects[LINKS_OID + (1, 4, code)] = gauge(
+                sum(c.state.value != "idle" for c in peer.circuits.values())
+            )
+        return objects
 
     def answer(self, data: bytes) -> bytes | None:
-        """The answer to a message; None where there is none to give."""
-        if len(data) > MOST_DATAGRAM:
-            log.warning("SNMP message dropped: %d bytes", len(data))
+        """Encode the response to a request; None if it is to be dropped."""
+        if len(data) > MAX_REQUEST_BYTES:
+            log.warning("SNMP message dropped, too long: %d bytes", len(data))
             return None
         try:
             message, _ = decoder.decode(data, asn1Spec=v2c.Message())
         except (PyAsn1Error, ProtocolError):
-            log.warning("SNMP message dropped: no SNMPv2c message")
+            log.warning("SNMP message dropped: not a valid SNMPv2c message")
             return None
         if int(v2c.apiMessage.get_version(message)) != 1 or (
             bytes(v2c.apiMessage.get_community(message)) != self.community
         ):
-            log.warning("SNMP message dropped: other version or community")
+            log.warning("SNMP message dropped: wrong version or community")
             return None
         pdu = v2c.apiMessage.get_pdu(message)
-        view = self.view()
-        order = sorted(view)
+        objects = self.collect_objects()
+        oids = sorted(objects)
         if pdu.isSameTypeWith(v2c.GetBulkRequestPDU()):
-            names = [tuple(name) for name, _ in v2c.apiBulkPDU.get_varbinds(pdu)]
-            once = max(0, int(v2c.apiBulkPDU.get_non_repeaters(pdu)))
-            times = max(0, int(v2c.apiBulkPDU.get_max_repetitions(pdu)))
-            values = self._bulk(view, order, names, once, times)
+            requested = [tuple(oid) for oid, _ in v2c.apiBulkPDU.get_varbinds(pdu)]
+            non_repeaters = max(0, int(v2c.apiBulkPDU.get_non_repeaters(pdu)))
+            max_repetitions = max(0, int(v2c.apiBulkPDU.get_max_repetitions(pdu)))
+            values = self._bulk(objects, oids, requested, non_repeaters, max_repetitions)
         elif pdu.isSameTypeWith(v2c.GetNextRequestPDU()):
-            values = [self._next(view, order, tuple(name)) for name, _ in v2c.apiPDU.get_varbinds(pdu)]
+            values = [self._next(objects, oids, tuple(oid)) for oid, _ in v2c.apiPDU.get_varbinds(pdu)]
         elif pdu.isSameTypeWith(v2c.GetRequestPDU()):
             values = [
-                (tuple(name), self._get(view, order, tuple(name))) for name, _ in v2c.apiPDU.get_varbinds(pdu)
+                (tuple(oid), self._get(objects, oids, tuple(oid))) for oid, _ in v2c.apiPDU.get_varbinds(pdu)
             ]
         elif pdu.isSameTypeWith(v2c.SetRequestPDU()):
             values = None
         else:
             return None
         response = v2c.apiMessage.get_response(message)
-        answer = v2c.apiMessage.get_pdu(response)
+        response_pdu = v2c.apiMessage.get_pdu(response)
         if values is None:
-            v2c.apiPDU.set_varbinds(answer, v2c.apiPDU.get_varbinds(pdu))
-            v2c.apiPDU.set_error_status(answer, 17)  # notWritable
-            v2c.apiPDU.set_error_index(answer, 1)
+            v2c.apiPDU.set_varbinds(response_pdu, v2c.apiPDU.get_varbinds(pdu))
+            v2c.apiPDU.set_error_status(response_pdu, 17)  # notWritable
+            v2c.apiPDU.set_error_index(response_pdu, 1)
         else:
-            v2c.apiPDU.set_varbinds(answer, [(v2c.ObjectIdentifier(name), value) for name, value in values])
+            v2c.apiPDU.set_varbinds(
+                response_pdu, [(v2c.ObjectIdentifier(oid), value) for oid, value in values]
+            )
         encoded: bytes = encoder.encode(response)
         return encoded
 
-    def _get(self, view: dict[Oid, Any], order: list[Oid], name: Oid) -> Any:
-        if name in view:
-            return view[name]
-        at = bisect_right(order, name[:-1])
-        known = at < len(order) and order[at][: len(name) - 1] == name[:-1]
-        return v2c.NoSuchInstance("") if known else v2c.NoSuchObject("")
+    def _get(self, objects: dict[Oid, Any], oids: list[Oid], oid: Oid) -> Any:
+        if oid in objects:
+            return objects[oid]
+        index = bisect_right(oids, oid[:-1])
+        object_exists = index < len(oids) and oids[index][: len(oid) - 1] == oid[:-1]
+        return v2c.NoSuchInstance("") if object_exists else v2c.NoSuchObject("")
 
-    def _next(self, view: dict[Oid, Any], order: list[Oid], name: Oid) -> tuple[Oid, Any]:
-        at = bisect_right(order, name)
-        return (order[at], view[order[at]]) if at < len(order) else (name, v2c.EndOfMibView(""))
+    def _next(self, objects: dict[Oid, Any], oids: list[Oid], oid: Oid) -> tuple[Oid, Any]:
+        index = bisect_right(oids, oid)
+        return (oids[index], objects[oids[index]]) if index < len(oids) else (oid, v2c.EndOfMibView(""))
 
     def _bulk(
-        self, view: dict[Oid, Any], order: list[Oid], names: list[Oid], once: int, times: int
+        self,
+        objects: dict[Oid, Any],
+        oids: list[Oid],
+        requested: list[Oid],
+        non_repeaters: int,
+        max_repetitions: int,
     ) -> list[tuple[Oid, Any]]:
-        found = [self._next(view, order, name) for name in names[:once]]
-        names = names[once:]
-        while names and times > 0 and len(found) + len(names) <= MOST_VARBINDS:
-            row = [self._next(view, order, name) for name in names]
-            found += row
-            names, times = [name for name, _ in row], times - 1
-        return found
+        varbinds = [self._next(objects, oids, oid) for oid in requested[:non_repeaters]]
+        requested = requested[non_repeaters:]
+        while requested and max_repetitions > 0 and len(varbinds) + len(requested) <= MAX_BULK_VARBINDS:
+            row = [self._next(objects, oids, oid) for oid in requested]
+            varbinds += row
+            requested, max_repetitions = [oid for oid, _ in row], max_repetitions - 1
+        return varbinds
