--- a/tests/m3ua_harness.py
+++ b/tests/m3ua_harness.py
@@ -1,4 +1,10 @@
-"""A stand-in M3UA peer, written from RFC 4666 and Q.763 and with a codec of its own."""
+"""A simulated M3UA peer exchange, with a codec of its own, written from RFC 4666 and Q.763.
+
+A fault in the program's codec thus does not cancel out in the tests.
+
+Parameter tags: 0x06 routing context, 0x09 heartbeat data, 0x0C error code, 0x0D status, 0x11 ASP identifier,
+0x12 affected point code, 0x205 congestion indications, 0x210 protocol data.
+"""
 
 from __future__ import annotations
 
@@ -9,11 +15,34 @@
 
 from tests.network_harness import Inbox, start_thread
 
-ASPUP, ASPDN, BEAT, ASPUP_ACK, ASPDN_ACK, BEAT_ACK = 0x301, 0x302, 0x303, 0x304, 0x305, 0x306
-ASPAC, ASPIA, ASPAC_ACK, ASPIA_ACK = 0x401, 0x402, 0x403, 0x404
-ERR, NTFY, DATA, DUNA, DAVA, DAUD, SCON = 0x000, 0x001, 0x101, 0x201, 0x202, 0x203, 0x204
-IAM, ACM, ANM, REL, RLC = 1, 6, 9, 12, 16
-PEER_POINT_CODE, ROUTER_POINT_CODE = 200, 100  # point codes, as the peer sees them
+# M3UA message class (high byte) and type (low byte).
+ERR = 0x000
+NTFY = 0x001
+DATA = 0x101
+DUNA = 0x201
+DAVA = 0x202
+DAUD = 0x203
+SCON = 0x204
+ASPUP = 0x301
+ASPDN = 0x302
+BEAT = 0x303
+ASPUP_ACK = 0x304
+ASPDN_ACK = 0x305
+BEAT_ACK = 0x306
+ASPAC = 0x401
+ASPIA = 0x402
+ASPAC_ACK = 0x403
+ASPIA_ACK = 0x404
+
+# ISUP message types.
+IAM = 1
+ACM = 6
+ANM = 9
+REL = 12
+RLC = 16
+
+PEER_POINT_CODE = 200
+ROUTER_POINT_CODE = 100
 
 
 @dataclass
@@ -26,12 +55,12 @@
 
     @property
     def cause(self) -> int:
-        return self.body[4] & 0x7F  # pointer, no options, length, location, cause
+        return self.body[4] & 0x7F  # after two pointers, length and location
 
     @property
     def description(self) -> bytes:
-        at = self.body.find(b"\x20", 1)
-        return self.body[at + 2 : at + 2 + self.body[at + 1]] if self.body[0] else b""
+        offset = self.body.find(b"\x20", 1)  # user-to-user information
+        return self.body[offset + 2 : offset + 2 + self.body[offset + 1]] if self.body[0] else b""
 
 
 def encode(code: int, params: dict[int, bytes]) -> bytes:
@@ -43,7 +72,7 @@
 
 
 class M3uaPeer:
-    """An exchange with point code 200 and its link."""
+    """A peer exchange with point code 200 and one link to the router."""
 
     def __init__(self, port: int) -> None:
         self.port = port
@@ -66,11 +95,11 @@
         with sock.makefile("rb") as file, suppress(OSError):
             while len(head := file.read(8)) == 8:
                 code, length = struct.unpack(">HI", head[2:])
-                body, params, at = file.read(length - 8), {}, 0
-                while at < len(body):
-                    tag, size = struct.unpack_from(">HH", body, at)
-                    params[tag] = body[at + 4 : at + size]
-                    at += size + -size % 4
+                body, params, offset = file.read(length - 8), {}, 0
+                while offset < len(body):
+                    tag, size = struct.unpack_from(">HH", body, offset)
+                    params[tag] = body[offset + 4 : offset + size]
+                    offset += size + -size % 4
                 message = M3uaMessage(code, params)
                 if code == DATA:
                     opc, dpc, si = struct.unpack_from(">IIB", params[0x210])
@@ -94,7 +123,7 @@
     def send_iam(
         self, cic: int, description: bytes = b"", category: int = 10, digits: bytes = b"\xf7\xa3"
     ) -> None:
-        """The digits are swapped pairs: 7f3a."""
+        """Send IAM; ``digits`` are swapped pairs, by default those of 7f3a."""
         called = b"\x03\x10" + digits
         options = b"\x20" + bytes([len(description)]) + description + b"\0" if description else b""
         pointers = bytes([2, len(called) + 2 if options else 0])
@@ -108,5 +137,5 @@
         self.send_isup(cic, REL, bytes([2, 0, 2, 0x80, 0x80 | cause]))
 
     def receive_isup(self, kind: int, cic: int | None = None) -> M3uaMessage:
-        """An ISUP message of that type, on that circuit if one is given."""
+        """Wait for an ISUP message of the given type, and of the given circuit if there is one."""
         return self.inbox.wait_and_pop(lambda m: m.code == DATA and m.type == kind and cic in (None, m.cic))
