--- a/barleywheel/fronts/m3ua.py
+++ b/barleywheel/fronts/m3ua.py
@@ -117,7 +117,7 @@
     # Circuits.
 
     def controls_circuit(self, cic: int) -> bool:
-        """Whether this side keeps it at dual seizure: the higher point code has the even CICs (Q.764)."""
+        """Whether this side keeps a circuit at dual seizure: the higher point code has even CICs (Q.764)."""
         return (self.front.conf.point_code > self.conf.point_code) == (cic % 2 == 0)
 
     def seize_circuit(self) -> Circuit | None:
@@ -567,7 +567,7 @@
 
     def _destination(self, number: str) -> int:
         """The exchange number of the longest matching prefix; -1 if none matches."""
-        if not 0 < len(number) <= isup.MAX_CALLED_DIGITS:  # hubs close the connection on any other
+        if not 0 < len(number) <= isup.MAX_CALLED_DIGITS:  # hubs close the connection on any other length
             return -1
         matching = [prefix for prefix in self.conf.numbers if number.startswith(prefix)]
         return self.conf.numbers[max(matching, key=len)] if matching else -1
--- a/tests/test_m3ua.py
+++ b/tests/test_m3ua.py
@@ -400,6 +400,11 @@
 
 
 def test_both_fronts_give_the_same_answers_while_a_hub_drains(tmp_path: Path) -> None:
+    """Calls cross the announcement of a drain on both fronts.
+
+    Each call gets one final answer, the same on both fronts; no call has two attempts out at once; the
+    draining hub gets no new set-up once the announcement is known.
+    """
     script = HubScript()
     drained, tandem = Hub("h1", 1, script), Hub("h2", 2, script)
     with running_front(tmp_path, drained, tandem, circuits=31) as (harness, peer):
@@ -410,25 +415,25 @@
             peer.send_iam(cic, f"m:{step}".encode())
             caller.send_new(f"{cic:016x}", body=f"j:{step}".encode())
 
-        def answers(cic: int) -> tuple[m3ua_harness.M3uaMessage, dict[str, Any]]:
+        def wait_for_answers(cic: int) -> tuple[m3ua_harness.M3uaMessage, dict[str, Any]]:
             return (
                 peer.inbox.wait_and_pop(lambda m: m.cic == cic and m.type in (ANM, REL)),
                 caller.inbox.wait_and_pop(lambda m: m["ref"] == f"{cic:016x}"),
             )
 
-        def both(cic: int, step: str) -> tuple[str, int, bytes]:
+        def place_and_compare(cic: int, step: str) -> tuple[str, int, bytes]:
             """Place the same call on both fronts at once and check that the answers are equal."""
             place_on_both(cic, step)
-            to_peer, to_caller = answers(cic)
+            to_peer, to_caller = wait_for_answers(cic)
             outcome = ("up", 0, to_peer.description) if to_peer.type == ANM else ("down", to_peer.cause, b"")
             assert outcome == (to_caller["t"], to_caller.get("c", 0), to_caller.get("d", "").encode())
             if to_peer.type == REL:
                 peer.send_isup(cic, RLC)
             return outcome
 
-        assert both(1, "stand") == ("up", 0, b"made for stand")
-        assert both(2, "crank") == ("up", 0, b"made for crank")
-        assert both(3, "error") == ("down", 41, b"")
+        assert place_and_compare(1, "stand") == ("up", 0, b"made for stand")
+        assert place_and_compare(2, "crank") == ("up", 0, b"made for crank")
+        assert place_and_compare(3, "error") == ("down", 41, b"")
         answered = [m.ref for m in invites(drained) if m.body.endswith(b"stand")]
         assert len(answered) == 2
 
@@ -439,11 +444,11 @@
             place_on_both(cic, "stand")
             time.sleep(0.01)
         for cic in crossing:
-            answers(cic)
+            wait_for_answers(cic)
         harness.wait_for(lambda: "state=Terminating" in harness.log_text())
         drain_known_at = time.time()
         for cic in range(4, 8):
-            assert both(cic, "stand") == ("down", 42, b"")
+            assert place_and_compare(cic, "stand") == ("down", 42, b"")
         answered = [m.ref for m in invites(drained) if m.body.endswith(b"stand")]
         for ref in answered:  # the drained hub stops: its calls are released on both fronts
             drained.send_bye(ref, 41)
@@ -453,8 +458,8 @@
         fresh = Hub("h1b", 1, script)
         harness.journal.publish(fresh)
         harness.wait_for(lambda: fresh.conns)
-        assert both(8, "stand") == ("up", 0, b"made for stand")
-        assert both(9, "full") == ("down", 42, b"")
+        assert place_and_compare(8, "stand") == ("up", 0, b"made for stand")
+        assert place_and_compare(9, "full") == ("down", 42, b"")
 
         late = [m for m in invites(drained) if m.at > max(published_at + 0.25, drain_known_at)]
         assert not late, "set-ups to the draining hub"
