--- a/barleywheel/core/causes.py
+++ b/barleywheel/core/causes.py
@@ -12,7 +12,7 @@
 )
 
 BUSY, NO_ANSWER, OUT_OF_ORDER, TEMPORARY = 17, 19, 27, 41
-UNSPECIFIED, CHANNEL_UNAVAILABLE, RESOURCE, INTERWORKING = 31, 44, 47, 127
+UNSPECIFIED, CHANNEL_UNAVAILABLE, RESOURCE, CAUSE_INTERWORKING = 31, 44, 47, 127
 
 # How a far exchange's REL in place of an answer reads as the end of an attempt.
 FROM_CAUSE: dict[int, tuple[AttemptStatus, RefusalReason]] = {
--- a/barleywheel/fronts/m3ua.py
+++ b/barleywheel/fronts/m3ua.py
@@ -251,7 +251,7 @@
             sent = self.send(anm)
         except ValueError as error:
             log.warning("answer can't be passed on: ref=%s %s", request.ref, error)
-            self.start_release(circuit, causes.INTERWORKING)
+            self.start_release(circuit, causes.CAUSE_INTERWORKING)
             return False
         if sent:
             circuit.state = CircuitState.ANSWERED
