--- a/barleywheel/core/__init__.py
+++ b/barleywheel/core/__init__.py
@@ -1,1 +1,1 @@
-"""The life of a call, from request to release, in no wire's terms."""
+"""Protocol-independent call processing, from a caller's request to the release of the call."""
