--- a/barleywheel/core/call_manager.py
+++ b/barleywheel/core/call_manager.py
@@ -1,4 +1,7 @@
-"""The life of a call by stage: take, pick, attempt, answer. One greenlet a call."""
+"""Call processing by stage: accept the request, choose a hub, place the attempt, answer the caller.
+
+Each call runs in its own greenlet.
+"""
 
 from __future__ import annotations
 
@@ -26,47 +29,48 @@
 from barleywheel.facade import ControllerFacade
 
 log = logging.getLogger(__name__)
+# Results of a broken attempt: the call is not tried again before a guard time has passed.
 GUARD_TIME_STATUSES = (AttemptStatus.TIMEOUT, AttemptStatus.RESET, AttemptStatus.CALLER_GONE)
 
 
 class CallManager:
-    """Every call that is open, from its request to its one answer."""
+    """The calls that have been requested and not yet given their final answer."""
 
     def __init__(self, facade: ControllerFacade, deadlines: Deadlines, established: EstablishedCalls) -> None:
         self.facade, self.deadlines, self.established = facade, deadlines, established
         self.open_calls: dict[str, Call] = {}
-        self.counts: Counter[str] = Counter()  # for the agent: calls, attempts, outcomes by name
+        self.counts: Counter[str] = Counter()  # for SNMP: calls, attempts, outcomes and rejections
         self.default_carrier: Carrier | None = None
-        self.carriers: dict[int, Carrier] = {}  # cell -> its carrier, where it is not the default one
-        self._last_number = 0
+        self.carriers: dict[int, Carrier] = {}  # by cell; the others use the default carrier
+        self._last_call_number = 0
 
-    # Take.
+    # Requests and releases.
 
     def accept(self, request: Request) -> None:
-        """Take a request; it gets one final answer unless its caller gives it up."""
+        """Start a call; it gets exactly one final answer unless its caller abandons it."""
         self.counts["calls"] += 1
-        fault = self._validation_error(request)
-        if fault:
-            # Guards the module and the hubs against calls that nobody could serve.
-            log.warning("call failed at once: ref=%s %s", request.ref, fault)
+        error = self._validation_error(request)
+        if error:
+            # Neither the decision module nor a hub could serve this call.
+            log.warning("invalid call request rejected: ref=%s %s", request.ref, error)
             self.counts[f"rejected.{CAUSE_INVALID_MESSAGE}"] += 1
             request.origin.reject(request, Rejection(CAUSE_INVALID_MESSAGE))
             return
-        self._last_number = self._last_number % 0xFFFFFFFF + 1
-        call = self.open_calls[request.ref] = Call(request, self._last_number)
+        self._last_call_number = self._last_call_number % 0xFFFFFFFF + 1
+        call = self.open_calls[request.ref] = Call(request, self._last_call_number)
         runtime.spawn(self._serve, call)
 
     def _validation_error(self, request: Request) -> str:
         if request.ref in self.open_calls or request.ref in self.established.legs:
-            return "its id is in use"
+            return "call id already in use"
         if not self.facade.knows_class(request.class_name):
             return "unknown class"
         if request.time_left_us <= 0:
-            return "bad deadline"
-        return "bad dest" if request.destination < 0 else ""
+            return "no time left before the deadline"
+        return "invalid destination" if request.destination < 0 else ""
 
     def abandon(self, ref: str) -> bool:
-        """The caller gives up a set-up; False if none is open under that id."""
+        """Give up a set-up at the caller's request; False if no call with that id is open."""
         call = self.open_calls.get(ref)
         if call is None:
             return False
@@ -74,21 +78,22 @@
         return True
 
     def handle_hub_release(self, hub: bytes, ref: str, cause: int) -> None:
-        """A hub released a call, perhaps one whose answer is still on its way to the caller."""
+        """Handle a release by a hub; the call's answer may not have been passed to the caller yet."""
         call = self.open_calls.get(ref)
         if call is None:
             self.established.release_from_hub(ref, cause)
         elif call.attempt is not None and call.attempt.answered and call.attempt.hub == hub:
             call.release_cause = cause
 
-    # Pick, attempt, answer.
+    # Hub choice, attempts and the answer.
 
     def _serve(self, call: Call) -> None:
         request = call.request
         try:
             self._route(call)
-        except Exception:  # a fault in one call must not take the others down; its caller is answered
-            log.exception("call broke off: ref=%s", request.ref)
+        except Exception:
+            # An error in one call must not affect the others, and its caller still gets an answer.
+            log.exception("call failed with an unexpected exception: ref=%s", request.ref)
             if self.open_calls.pop(request.ref, None) is call and not call.abandoned:
                 request.origin.reject(request, Rejection(CAUSE_TEMPORARY_FAILURE))
         finally:
@@ -99,7 +104,8 @@
         decision = self.facade.decide_new_call(call)
         while isinstance(decision, PlaceAttempt):
             if now_us() < call.guard_until_us:
-                # Guards rule 5 should the module ever send again too soon after a broken attempt.
+                # A call is tried again only a guard time after a broken attempt, even if the decision
+                # module asks for the next attempt too early.
                 runtime.sleep((call.guard_until_us - now_us()) / 1e6)
             attempt = call.attempt = Attempt(call, decision.hub, decision.limit_us, self.facade.is_ready)
             call.attempts += 1
@@ -127,7 +133,10 @@
             self._reject(call, decision)
 
     def _remember_ended(self, call: Call) -> None:
-        """A call that did not stand here may do so at its hub: its release there is no news for callers."""
+        """Keep the id of a call that failed here: it may be established at a hub.
+
+        A release from that hub must not be passed on, since the caller has its final answer.
+        """
         if call.attempts:
             self.established.remember_ended(call.request.ref)
 
@@ -159,7 +168,7 @@
         if result.status in (AttemptStatus.TIMEOUT, AttemptStatus.CALLER_GONE, AttemptStatus.CLOSED):
             carrier.cancel(attempt)
             log.info(
-                "attempt given up: ref=%s hub=%s end=%s after_ms=%d dest=%d cell=%d transit=%s",
+                "attempt cancelled: ref=%s hub=%s end=%s after_ms=%d dest=%d cell=%d transit=%s",
                 call.request.ref,
                 attempt.hub.decode(),
                 result.status.value,
@@ -173,7 +182,8 @@
     def _handle_answer(self, call: Call, attempt: Attempt, carrier: Carrier, result: AttemptResult) -> None:
         request = call.request
         leg = Leg(request.ref, attempt.hub, carrier, request.origin, attempt.carrier_state)
-        if call.final_decision is not None:  # the module gave up in the same turn: the caller is told so
+        # The decision module may have rejected the call in the same turn: the rejection is the answer.
+        if call.final_decision is not None:
             carrier.release(leg, CAUSE_NORMAL_CLEARING)
             self._reject(call, call.final_decision)
             return
