--- a/barleywheel/core/deadlines.py
+++ b/barleywheel/core/deadlines.py
@@ -1,4 +1,4 @@
-"""All deadlines in one sorted structure, swept each turn."""
+"""Timers of the whole process, kept in one sorted list that a single greenlet runs."""
 
 from __future__ import annotations
 
@@ -12,44 +12,46 @@
 from barleywheel.core.runtime import now_us
 
 log = logging.getLogger(__name__)
+# Due time in microseconds, sequence number, action. The number is unique, so that actions, which have no
+# order, are never compared.
 DeadlineHandle = tuple[int, int, Callable[[], Any]]
 
 
 class Deadlines:
-    """Actions by due time. An action must not block."""
+    """Runs actions when they are due. An action must not block: it would delay all others."""
 
     def __init__(self) -> None:
-        self._due: SortedList = SortedList()  # the running number keeps actions from being compared
-        self._number = 0
-        self._wake = runtime.event()
+        self._due: SortedList = SortedList()
+        self._last_number = 0
+        self._first_changed = runtime.event()
 
     def schedule(self, due_us: int, action: Callable[[], Any]) -> DeadlineHandle:
-        """Run the action at the given time."""
-        self._number += 1
-        handle = (due_us, self._number, action)
+        """Schedule an action; the handle is for ``cancel``."""
+        self._last_number += 1
+        handle = (due_us, self._last_number, action)
         self._due.add(handle)
         if self._due[0] is handle:
-            self._wake.set()
+            self._first_changed.set()
         return handle
 
     def cancel(self, handle: DeadlineHandle) -> None:
-        """Forget a deadline, whether it has come or not."""
+        """Remove an action; no error if it has already run."""
         self._due.discard(handle)
 
     def run_due(self, now: int) -> None:
-        """Run what is due."""
+        """Run the actions due at ``now`` or before."""
         while self._due and self._due[0][0] <= now:
             action = self._due.pop(0)[2]
             try:
                 action()
-            except Exception:  # one action's fault must not stop the others'
+            except Exception:  # an error in one action must not stop the others
                 log.exception("deadline action failed")
 
     def run(self) -> None:
-        """Sweep for ever, once a turn."""
+        """Run due actions for ever; sleep until the next one is due or an earlier one is scheduled."""
         while True:
-            self._wake.clear()
+            self._first_changed.clear()
             self.run_due(now_us())
             wait = (self._due[0][0] - now_us()) / 1e6 if self._due else None
             if wait is None or wait > 0:
-                self._wake.wait(wait)
+                self._first_changed.wait(wait)
