--- a/barleywheel/core/model.py
+++ b/barleywheel/core/model.py
@@ -1,4 +1,4 @@
-"""What the core deals in: requests, attempts and outcomes."""
+"""Data types and interfaces of call processing: requests, calls, attempts and their results."""
 
 from __future__ import annotations
 
@@ -28,12 +28,12 @@
     UNREACHABLE = "unreachable"
     RESET = "reset"
     NOT_SENT = "not sent"
-    CALLER_GONE = "caller gone"  # the caller gave the set-up up while the attempt was out
-    CLOSED = "closed"  # the module answered the call while the attempt was out
+    CALLER_GONE = "caller gone"  # the caller abandoned the set-up during the attempt
+    CLOSED = "closed"  # the call was rejected during the attempt, by the decision module or at shutdown
 
 
 class RefusalReason(Enum):
-    """What a far side adds to a refusal."""
+    """The reason that a hub or a remote exchange gives for a refusal."""
 
     NONE = ""
     NO_CIRCUIT = "congestion"
@@ -45,7 +45,7 @@
 
 @dataclass(slots=True)
 class AttemptResult:
-    """The end of one attempt; ``at_us`` is when its last byte was read."""
+    """How one attempt ended; ``at_us`` is when its last byte was read; ``finish`` sets it if 0."""
 
     status: AttemptStatus
     reason: RefusalReason = RefusalReason.NONE
@@ -56,7 +56,7 @@
 
 @dataclass(slots=True)
 class Request:
-    """A set-up as a front took it. ``received_us`` is the time of its last byte."""
+    """A call set-up as a front received it; ``received_us`` is the time of its last byte."""
 
     ref: str
     class_name: str
@@ -75,32 +75,32 @@
 
 @dataclass(slots=True)
 class Rejection:
-    """The final answer of a call that does not stand; the advice is when to come back, 0 for none."""
+    """Final answer of a call that failed; ``retry_after_us`` is 0 if no retry time is advised."""
 
     cause: int
     retry_after_us: int = 0
 
 
 class ReleaseListener(Protocol):
-    """Who is told that a call is over."""
+    """Is notified when an established call is released."""
 
     def release(self, ref: str, cause: int) -> None:
-        """A call that stood is over."""
+        """Handle the release of an established call."""
 
 
 class CallOrigin(ReleaseListener, Protocol):
-    """Where a request came from and where its one answer goes."""
+    """The front or connection that a request came from, which passes on its one final answer."""
 
     def answer(self, request: Request, description: bytes) -> bool:
-        """The call stands; False if the caller could not be told."""
+        """Report that the call is answered; False if the caller could not be notified."""
 
     def reject(self, request: Request, rejection: Rejection) -> None:
-        """The call does not stand."""
+        """Report that the call failed."""
 
 
 @dataclass(slots=True)
 class PlaceAttempt:
-    """Decision: make an attempt."""
+    """Decision to try the call at a hub for at most ``limit_us``."""
 
     hub: bytes
     limit_us: int
@@ -110,67 +110,68 @@
 
 
 class Call:
-    """A request taken and not yet answered."""
+    """An accepted request that has no final answer yet."""
 
     def __init__(self, request: Request, number: int) -> None:
         self.request, self.number = request, number
         self.attempts = 0
         self.attempt: Attempt | None = None
-        self.abandoned = False  # the caller gave up: no answer is owed any more
-        self.final_decision: Rejection | None = None  # given by the module while an attempt was out
-        self.release_cause: int | None = None  # the hub ended the call before the answer was passed on
-        self.guard_until_us = 0  # not sent again before this
-        self.carrier_data: dict[object, int] = {}  # the carriers' own: what was sent where
+        self.abandoned = False  # by the caller, who expects no answer any more
+        self.final_decision: Rejection | None = None  # set by ``close``; overrides the attempt in progress
+        self.release_cause: int | None = None  # the hub released the call before its answer was passed on
+        self.guard_until_us = 0  # no new attempt before this time
+        # Private to the carriers, such as the last CSeq sent by connection.
+        self.carrier_data: dict[object, int] = {}
 
     def close(self, rejection: Rejection) -> None:
-        """The module gave the final answer on a turn of its own."""
+        """End the call with a rejection, whether an attempt is in progress or not."""
         self.final_decision = rejection
         if self.attempt is not None:
             self.attempt.finish(AttemptResult(AttemptStatus.CLOSED))
 
     def abandon(self) -> None:
-        """The caller gave up."""
+        """End the call without an answer, because its caller gave it up."""
         self.abandoned = True
         if self.attempt is not None:
             self.attempt.finish(AttemptResult(AttemptStatus.CALLER_GONE))
 
 
 class Carrier(Protocol):
-    """What places attempts at hubs. No method blocks."""
+    """Sends attempts and releases to hubs over some protocol. No method blocks."""
 
     def place(self, attempt: Attempt) -> None:
-        """Send the set-up or end the attempt."""
+        """Send the set-up; if that is not possible, finish the attempt."""
 
     def cancel(self, attempt: Attempt) -> None:
-        """Give up an attempt that has ended on our side."""
+        """Cancel at the hub an attempt that has already been finished here."""
 
     def release(self, leg: Leg, cause: int) -> None:
-        """Take down a call that stands."""
+        """Release an established call at its hub."""
 
 
 class Attempt:
-    """One set-up at one hub. The first end counts; every later one is told that it came late."""
+    """One set-up at one hub. The first result counts; ``finish`` returns False for every later one."""
 
     def __init__(self, call: Call, hub: bytes, limit_us: int, may_send: Callable[[bytes], bool]) -> None:
         self.call, self.hub, self.limit_us, self.may_send = call, hub, limit_us, may_send
         self.index = call.attempts
         self.started_us = self.sent_us = now_us()
-        self.carrier_state: object = None  # the carrier's own
+        self.carrier_state: object = None  # private to the carrier
         self.result: AttemptResult | None = None
         self._ended = runtime.event()
 
     @property
     def has_ended(self) -> bool:
-        """Whether the attempt has ended."""
+        """Whether the attempt has a result."""
         return self.result is not None
 
     @property
     def answered(self) -> bool:
-        """Whether the attempt has ended with a call that stands."""
+        """Whether the attempt established the call."""
         return self.result is not None and self.result.status is AttemptStatus.ANSWERED
 
     def finish(self, result: AttemptResult) -> bool:
-        """End the attempt, unless it has ended already."""
+        """Set the result; False if there already is one, which then stays."""
         if self.result is not None:
             return False
         result.at_us = result.at_us or now_us()
@@ -179,7 +180,7 @@
         return True
 
     def wait(self) -> AttemptResult:
-        """Block until the attempt ends."""
+        """Block until the attempt has a result."""
         self._ended.wait()
         assert self.result is not None
         return self.result
@@ -187,7 +188,7 @@
 
 @dataclass(slots=True)
 class Leg:
-    """The far side of a call that stands, and the front that took it."""
+    """The outgoing leg of an established call, with the origin that its release is reported to."""
 
     ref: str
     hub: bytes
