--- a/barleywheel/core/runtime.py
+++ b/barleywheel/core/runtime.py
@@ -1,8 +1,8 @@
-"""What the process gives to every part: time, greenlets, waits, and ids that nobody can guess.
+"""Runtime services for all other modules: clocks, greenlets, events and unguessable ids.
 
-This module alone owns time. ``Gevent`` is what serves; whatever is put in its place by ``use_runtime`` (the
-virtual runtime of ``barleywheel.virtual``) runs the same parts on a clock of its own. One is in force in a
-process at a time, so that no part has to be handed it.
+The router reads clocks through this module only. Production uses ``Gevent``; ``use_runtime`` replaces it, for
+instance by the virtual runtime of ``barleywheel.virtual``, which runs the same code on a simulated clock.
+Exactly one runtime is current in a process, so that it need not be passed around.
 """
 
 from __future__ import annotations
@@ -18,51 +18,51 @@
 
 
 class Event(Protocol):
-    """A flag that greenlets wait for."""
+    """A flag that greenlets can wait for."""
 
     def is_set(self) -> bool:
-        """Whether the flag is up."""
+        """Whether the flag is set."""
 
     def set(self) -> None:
-        """Put the flag up; whoever waits goes on in the next turn."""
+        """Set the flag; waiting greenlets resume in the next turn."""
 
     def clear(self) -> None:
-        """Take the flag down."""
+        """Clear the flag."""
 
     def wait(self, timeout: float | None = None) -> object:
-        """Block until the flag is up, or for so many seconds; true where it is up."""
+        """Block until the flag is set, for at most ``timeout`` seconds; true if it is set."""
 
 
 class Runtime(Protocol):
-    """The process as the parts see it."""
+    """The services that a runtime provides."""
 
     def now_us(self) -> int:
-        """Microseconds that never step back."""
+        """Time in microseconds that never goes back."""
 
     def unix_us(self) -> int:
-        """The system's Unix clock, in microseconds; it may be set, either way, at any time."""
+        """The system's Unix clock in microseconds, which may be set forward or back at any time."""
 
     def sleep(self, seconds: float) -> None:
-        """Block this greenlet; 0 gives the others a turn."""
+        """Block this greenlet for so many seconds; 0 lets the others run."""
 
     def spawn(
         self, target: Callable[..., Any], *args: Any, on_error: Callable[[object], None] | None
     ) -> None:
-        """Start a greenlet; ``on_error`` hears of its end by an exception."""
+        """Start a greenlet; ``on_error`` is called if an exception ends it."""
 
     def event(self) -> Event:
-        """A new flag, down."""
+        """A new event, not set."""
 
     def token(self) -> str:
-        """An id of 16 hex digits."""
+        """A new id of 16 hex digits."""
 
 
 class Gevent:
-    """The real one."""
+    """The production runtime: gevent greenlets and the system's clocks."""
 
     def __init__(self) -> None:
-        # Counted from the Unix clock at the start, then by the monotonic one: were the system's clock set
-        # back by a second, every deadline of a call would come a second after its caller had gone.
+        # Unix time at the start, advanced by the monotonic clock. If it followed the Unix clock and that
+        # were set back by a second, every call deadline would come a second after its caller had gone.
         self._offset_us = time.time_ns() // 1000 - time.monotonic_ns() // 1000
 
     def now_us(self) -> int:
@@ -94,46 +94,46 @@
         return os.urandom(8).hex()
 
 
-_real: Runtime = Gevent()
-_in_force: Runtime = _real
+_gevent_runtime: Runtime = Gevent()
+_current: Runtime = _gevent_runtime
 
 
 def now_us() -> int:
-    """Microseconds by the one clock that there is here: Unix time at the start, and never a step back."""
-    return _in_force.now_us()
+    """Microseconds on the clock used throughout the program: Unix time at the start, never going back."""
+    return _current.now_us()
 
 
 def from_unix_us(unix_us: int) -> int:
-    """A time of the system's Unix clock on the clock of ``now_us``: they differ once the former was set."""
-    return unix_us - (_in_force.unix_us() - _in_force.now_us())
+    """Convert a Unix time to the clock of ``now_us``; the two differ once the system's clock has been set."""
+    return unix_us - (_current.unix_us() - _current.now_us())
 
 
 def sleep(seconds: float) -> None:
-    """Block this greenlet for so many seconds; 0 gives the others a turn."""
-    _in_force.sleep(seconds)
+    """Block this greenlet for so many seconds; 0 lets the others run."""
+    _current.sleep(seconds)
 
 
 def spawn(target: Callable[..., Any], *args: Any, on_error: Callable[[object], None] | None = None) -> None:
-    """Start a greenlet; ``on_error`` hears of its end by an exception."""
-    _in_force.spawn(target, *args, on_error=on_error)
+    """Start a greenlet; ``on_error`` is called if an exception ends it."""
+    _current.spawn(target, *args, on_error=on_error)
 
 
 def event() -> Event:
-    """A new flag, down."""
-    return _in_force.event()
+    """A new event, not set."""
+    return _current.event()
 
 
 def token() -> str:
-    """A fresh call id: 16 hex digits."""
-    return _in_force.token()
+    """A new, unguessable call id of 16 hex digits."""
+    return _current.token()
 
 
 @contextmanager
 def use_runtime(runtime: Runtime) -> Iterator[None]:
-    """Put another runtime in force for a while; what was made under one must not live on under another."""
-    global _in_force
-    before, _in_force = _in_force, runtime
+    """Make another runtime current for the block; objects made under one must not be used under another."""
+    global _current
+    previous, _current = _current, runtime
     try:
         yield
     finally:
-        _in_force = before
+        _current = previous
