--- a/barleywheel/benchlink.py
+++ b/barleywheel/benchlink.py
@@ -54,7 +54,7 @@
     250: api.Outcome.CANCELLED,
     249: api.Outcome.NOT_SENT,
 }
-LOAD_FIELDS = {
+LOAD_ATTRIBUTE_BY_FIELD = {
     "free": "free_circuits",
     "size": "group_size",
     "cpu_share": "utilisation",
@@ -175,7 +175,7 @@
 
     def __init__(self, settings: api.Settings, fields: list[str], seed: int) -> None:
         self.controller = Controller(settings, seed)
-        self.fields = [LOAD_FIELDS.get(name) for name in fields]
+        self.fields = [LOAD_ATTRIBUTE_BY_FIELD.get(name) for name in fields]
 
     def load(self, body: bytes, at: int, count: int) -> api.Load:
         """Translate a load report; the wire's -1 and anything not finite mean unknown."""
--- a/barleywheel/facade.py
+++ b/barleywheel/facade.py
@@ -10,7 +10,7 @@
 from functools import partial
 
 from barleywheel import interface as api
-from barleywheel.benchlink import LOAD_FIELDS
+from barleywheel.benchlink import LOAD_ATTRIBUTE_BY_FIELD
 from barleywheel.controller import Controller
 from barleywheel.core.deadlines import Deadlines
 from barleywheel.core.model import (
@@ -63,7 +63,7 @@
 def _load(values: dict[str, float]) -> api.Load:
     load = api.Load()
     for name, value in values.items():
-        attribute = LOAD_FIELDS.get(SHORT.get(name, name))
+        attribute = LOAD_ATTRIBUTE_BY_FIELD.get(SHORT.get(name, name))
         if attribute is not None and value >= 0:
             setattr(load, attribute, value)
     return load
