--- a/barleywheel/router.py
+++ b/barleywheel/router.py
@@ -1,4 +1,4 @@
-"""The parts of one call router, put together: start, follow the configuration, leave."""
+"""Builds one call router from its components, starts it, reloads its configuration and shuts it down."""
 
 from __future__ import annotations
 
@@ -19,14 +19,16 @@
 from barleywheel.net.journal import JournalClient
 
 log = logging.getLogger("barleywheel")
-ACCEPT_S = 0.9  # how long after SIGTERM new set-ups may still come
-LONGEST_S = 3.0  # SIGKILL may follow 0.7 s after the longest deadline, which counts as no more than this
-# What is left this long after that deadline is failed at once: the answers need time to go.
+# Callers may send new set-ups for this long after SIGTERM.
+NEW_CALL_PERIOD_S = 0.9
+# SIGKILL may follow 0.7 s after the longest call deadline, or after this time if the deadline is longer.
+MAX_DEADLINE_S = 3.0
+# Calls still open this long after that deadline are rejected, to leave time for sending their answers.
 SHUTDOWN_MARGIN_S = 0.4
 
 
 class Router:
-    """One call router. ``reload`` is set where the configuration is to be read again by ``load``."""
+    """One call router. Setting the event ``reload`` makes it read its configuration again with ``load``."""
 
     def __init__(
         self,
@@ -45,7 +47,7 @@
         self.journal = JournalClient(conf.journal, self.facade, self.hubs)
         self.stop, self.reload = runtime.event(), runtime.event()
         self.shutdown_s = (
-            min(LONGEST_S, max(c.deadline_us for c in conf.settings.classes) / 1e6) + SHUTDOWN_MARGIN_S
+            min(MAX_DEADLINE_S, max(c.deadline_us for c in conf.settings.classes) / 1e6) + SHUTDOWN_MARGIN_S
         )
         self._load = load
         self.snmp = operator.snmp
@@ -54,47 +56,48 @@
             self.m3ua = M3uaFront(operator.m3ua, self.call_manager, self.facade, self.deadlines)
 
     def start(self, conf: config.Config) -> None:
-        """Listen and begin to serve; ConfigError where that can't be."""
+        """Listen and begin to serve; ConfigError if that is not possible."""
         try:
             self.journal.apply(*conf.initial_hubs)
             self.front.listen(conf.listen)
             if self.m3ua is not None:
                 self.m3ua.listen()
-                runtime.spawn(self.m3ua.run, on_error=self._broken)
+                runtime.spawn(self.m3ua.run, on_error=self._log_component_end)
             if self.snmp is not None:
-                from barleywheel.snmp.agent import Agent  # only here: it loads a library of its own
+                from barleywheel.snmp.agent import Agent  # here, since it loads the SNMP library
 
                 agent = Agent(self, self.snmp.listen, self.snmp.community)
-                runtime.spawn(agent.run, on_error=self._broken)
+                runtime.spawn(agent.run, on_error=self._log_component_end)
         except (KeyError, ValueError, TypeError, OSError) as error:
             raise config.ConfigError(f"can't start: {type(error).__name__}: {error}") from error
-        for part in (self.deadlines.run, self.journal.run, self.front.run, self._reload):
-            runtime.spawn(part, on_error=self._broken)
+        for component_loop in (self.deadlines.run, self.journal.run, self.front.run, self._reload):
+            runtime.spawn(component_loop, on_error=self._log_component_end)
 
     def _reload(self) -> None:
-        """Read the configuration again whenever that is asked for, and follow a journal that moved."""
+        """Read the configuration whenever ``reload`` is set, and use its address of the journal service."""
         while True:
             self.reload.wait()
             self.reload.clear()
             try:
                 conf = self._load()
             except config.ConfigError as error:
-                log.warning("configuration not reloaded, the old one stays: %s", error)
+                log.warning("configuration not reloaded, keeping the previous one: %s", error)
                 continue
             log.info("configuration reloaded: journal=%s", conf.journal)
             self.journal.set_address(conf.journal)
 
-    def _broken(self, greenlet: object) -> None:
-        log.critical("a part of the router ended: %s", greenlet)
+    def _log_component_end(self, greenlet: object) -> None:
+        log.critical("router component ended unexpectedly: %s", greenlet)
 
     def shut_down(self) -> None:
-        """Finish what is taken: callers may still send for a while."""
+        """Accept set-ups for ``NEW_CALL_PERIOD_S``; reject the calls that are open when the time is over."""
         self.front.shutting_down = True
-        until = now_us() + int(self.shutdown_s * 1e6)
-        runtime.sleep(min(ACCEPT_S, self.shutdown_s))
+        deadline_us = now_us() + int(self.shutdown_s * 1e6)
+        runtime.sleep(min(NEW_CALL_PERIOD_S, self.shutdown_s))
         self.front.close()
-        # Guards set-ups that still come on open connections: one taken as we went was never answered.
-        while (not self.front.close_idle() or self.call_manager.open_calls) and now_us() < until:
+        # Connections are closed as they become idle: a set-up accepted on an open connection at the moment
+        # of exit was never answered.
+        while (not self.front.close_idle() or self.call_manager.open_calls) and now_us() < deadline_us:
             runtime.sleep(0.02)
         for call in list(self.call_manager.open_calls.values()):
             call.close(Rejection(CAUSE_TEMPORARY_FAILURE))
