--- a/barleywheel/config.py
+++ b/barleywheel/config.py
@@ -1,4 +1,4 @@
-"""What the program is told at its start."""
+"""Reads the configuration of the platform and the optional file of the operator."""
 
 from __future__ import annotations
 
@@ -15,17 +15,19 @@
 from barleywheel.wire import journal as journal_wire
 from barleywheel.wire.journal import Event
 
-MOST_CIC, MOST_POINT_CODE, MOST_MS = 0xFFF, 0xFFFFFF, 3_600_000
-ADDRESS = re.compile(r"[^\s:]+:\d{1,5}\Z")
+MAX_CIC = 0xFFF
+MAX_POINT_CODE = 0xFFFFFF
+MAX_TIME_MS = 3_600_000
+ADDRESS_PATTERN = re.compile(r"[^\s:]+:\d{1,5}\Z")
 
 
 class ConfigError(Exception):
-    """The configuration can't be used."""
+    """The configuration is invalid or cannot be read."""
 
 
 @dataclass(slots=True)
 class Config:
-    """Name, addresses, settings and the hub list at the start."""
+    """The platform's configuration: name, addresses, settings and the initial hub list."""
 
     name: str
     listen: str
@@ -38,15 +40,19 @@
     names: dict[str, list[str]]
 
 
-def parse_address(value: object, what: str) -> str:
-    """A host and a port."""
-    if not isinstance(value, str) or not ADDRESS.match(value) or int(value.rpartition(":")[2]) > 65535:
-        raise ConfigError(f"{what} is no address: {value!r}")
+def parse_address(value: object, key: str) -> str:
+    """Check an address of the form host:port; ConfigError if it has another form."""
+    if (
+        not isinstance(value, str)
+        or not ADDRESS_PATTERN.match(value)
+        or int(value.rpartition(":")[2]) > 65535
+    ):
+        raise ConfigError(f"{key} is not an address (host:port): {value!r}")
     return value
 
 
 def load(environ: dict[str, str] | os._Environ[str] = os.environ) -> Config:
-    """Read the file that LB_CONFIG names."""
+    """Read the configuration file that LB_CONFIG names."""
     path = environ.get("LB_CONFIG")
     if not path:
         raise ConfigError("LB_CONFIG is not set")
@@ -58,17 +64,17 @@
 
 
 def parse(data: bytes, path: str, environ: dict[str, str] | os._Environ[str]) -> Config:
-    """Read a configuration's bytes; ConfigError, which names the path, where they can't be used."""
+    """Parse a configuration; ConfigError, with the path in its text, if it is invalid."""
     try:
         raw = json.loads(data)
     except (ValueError, RecursionError) as error:
         raise ConfigError(f"{path}: {error}") from error
     if not isinstance(raw, dict) or not isinstance(raw.get("settings"), dict):
-        raise ConfigError(f"{path}: no settings")
+        raise ConfigError(f"{path}: settings are missing or not an object")
     settings = raw["settings"]
     try:
         parsed, _ = parse_settings(json.dumps(settings).encode())
-        classes = [str(item.get("name", at)) for at, item in enumerate(settings["classes"])]
+        classes = [str(item.get("name", index)) for index, item in enumerate(settings["classes"])]
         limits = settings.get("limits") or {}
         return Config(
             name=environ.get("LB_NAME") or str(raw.get("name", "")),
@@ -81,20 +87,20 @@
             settings=parsed,
             names={
                 "classes": classes,
-                "zones": [str(z) for z in settings.get("zones") or []],
-                "kinds": [str(k) for k in settings.get("kinds") or []],
+                "zones": [str(zone) for zone in settings.get("zones") or []],
+                "kinds": [str(kind) for kind in settings.get("kinds") or []],
             },
         )
     except (SettingsError, Malformed, ValueError, OverflowError, TypeError, AttributeError) as error:
         raise ConfigError(f"{path}: {error}") from error
 
 
-# What an operator adds: the second front and the agent, both off without a file.
+# The operator's file sets up the M3UA front and the SNMP agent. Both are off if no file is given.
 
 
 @dataclass(slots=True)
 class ClassConfig:
-    """How a class of call looks in ISUP, and how long its callers wait."""
+    """The calling party's category that marks a call class in ISUP, and how long its callers wait."""
 
     category: int
     patience_ms: int
@@ -102,17 +108,17 @@
 
 @dataclass(slots=True)
 class PeerConfig:
-    """An exchange that speaks M3UA."""
+    """A remote exchange connected over M3UA."""
 
     point_code: int
     asp: int | None
     circuits: list[int]
-    cell: int | None  # the exchange's number, if attempts are placed there
+    cell: int | None  # the exchange's number, if attempts are placed over this link
 
 
 @dataclass(slots=True)
 class M3uaConfig:
-    """The second front."""
+    """The M3UA front."""
 
     listen: str
     point_code: int
@@ -128,7 +134,7 @@
 
 @dataclass(slots=True)
 class SnmpConfig:
-    """The agent."""
+    """The SNMP agent."""
 
     listen: str
     community: str
@@ -136,14 +142,14 @@
 
 @dataclass(slots=True)
 class OperatorConfig:
-    """What the operator's file sets up."""
+    """The operator's file; None where a part is off."""
 
     m3ua: M3uaConfig | None = None
     snmp: SnmpConfig | None = None
 
 
 def load_operator_config(path: str | None) -> OperatorConfig:
-    """Read the operator's file."""
+    """Read the operator's file, if there is one."""
     if path is None:
         return OperatorConfig()
     try:
@@ -154,11 +160,12 @@
 
 
 def parse_operator_config(data: bytes, path: str) -> OperatorConfig:
-    """Read an operator's file's bytes; ConfigError, which names the path, where they can't be used."""
+    """Parse an operator's file; ConfigError, with the path in its text, if it is invalid."""
     try:
         raw = tomllib.loads(data.decode())
         return OperatorConfig(
-            _m3ua(raw["m3ua"]) if "m3ua" in raw else None, _snmp(raw["snmp"]) if "snmp" in raw else None
+            _parse_m3ua(raw["m3ua"]) if "m3ua" in raw else None,
+            _parse_snmp(raw["snmp"]) if "snmp" in raw else None,
         )
     except KeyError as error:
         raise ConfigError(f"{path}: {error} is missing") from error
@@ -166,57 +173,63 @@
         raise ConfigError(f"{path}: {error}") from error
 
 
-def _circuits(text: str) -> list[int]:
-    """Circuits as "1-15,17-31"."""
-    found: list[int] = []
+def _parse_circuits(text: str) -> list[int]:
+    """Parse a list of circuit ranges such as "1-15,17-31"."""
+    circuits: list[int] = []
     for part in text.split(","):
         first, _, last = part.partition("-")
-        if not 0 <= int(first) <= int(last or first) <= MOST_CIC:  # before any list is made of them
-            raise ValueError(f"no circuits: {text!r}")
-        found += range(int(first), int(last or first) + 1)
-    if not found or len(set(found)) < len(found):
-        raise ValueError(f"no circuits, or one twice: {text!r}")
-    return found
-
-
-def _within(raw: dict[str, Any], key: str, least: int, most: int, default: int | None = None) -> int:
-    """A whole number of the file's; ValueError where it is none or out of its range."""
+        if (
+            not 0 <= int(first) <= int(last or first) <= MAX_CIC
+        ):  # checked first: a huge range would fill memory
+            raise ValueError(f"circuit range reversed or out of range: {text!r}")
+        circuits += range(int(first), int(last or first) + 1)
+    if not circuits or len(set(circuits)) < len(circuits):
+        raise ValueError(f"no circuits, or a circuit listed twice: {text!r}")
+    return circuits
+
+
+def _int_in_range(
+    raw: dict[str, Any], key: str, minimum: int, maximum: int, default: int | None = None
+) -> int:
+    """Look up an integer; ValueError if the value is not one or is out of range."""
     value: object = raw[key] if default is None else raw.get(key, default)
-    if isinstance(value, bool) or not isinstance(value, int) or not least <= value <= most:
-        raise ValueError(f"{key} is no whole number from {least} to {most}: {str(value)[:40]!r}")
+    if isinstance(value, bool) or not isinstance(value, int) or not minimum <= value <= maximum:
+        raise ValueError(f"{key} is not a whole number from {minimum} to {maximum}: {str(value)[:40]!r}")
     return value
 
 
-def _m3ua(raw: dict[str, Any]) -> M3uaConfig:
+def _parse_m3ua(raw: dict[str, Any]) -> M3uaConfig:
     peers = [
         PeerConfig(
-            _within(peer, "point_code", 0, MOST_POINT_CODE),
-            _within(peer, "asp", 0, 0xFFFFFFFF) if "asp" in peer else None,
-            _circuits(str(peer["circuits"])),
-            _within(peer, "cell", 0, 0xFFFF) if "cell" in peer else None,
+            _int_in_range(peer, "point_code", 0, MAX_POINT_CODE),
+            _int_in_range(peer, "asp", 0, 0xFFFFFFFF) if "asp" in peer else None,
+            _parse_circuits(str(peer["circuits"])),
+            _int_in_range(peer, "cell", 0, 0xFFFF) if "cell" in peer else None,
         )
         for peer in raw["peer"]
     ]
     if len({peer.point_code for peer in peers}) < len(peers) or not peers:
-        raise ValueError("peers need point codes of their own")
+        raise ValueError("no peers, or two with the same point code")
     return M3uaConfig(
         listen=parse_address(raw["listen"], "m3ua.listen"),
-        point_code=_within(raw, "point_code", 0, MOST_POINT_CODE),
-        network_indicator=_within(raw, "network_indicator", 0, 3, 2),
-        routing_context=_within(raw, "routing_context", 0, 0xFFFFFFFF, 1),
-        rlc_ms=_within(raw, "rlc_ms", 10, MOST_MS, 15_000),
-        beat_ms=_within(raw, "beat_ms", 10, MOST_MS, 30_000),
-        up_ms=_within(raw, "up_ms", 10, MOST_MS, 5_000),
+        point_code=_int_in_range(raw, "point_code", 0, MAX_POINT_CODE),
+        network_indicator=_int_in_range(raw, "network_indicator", 0, 3, 2),
+        routing_context=_int_in_range(raw, "routing_context", 0, 0xFFFFFFFF, 1),
+        rlc_ms=_int_in_range(raw, "rlc_ms", 10, MAX_TIME_MS, 15_000),
+        beat_ms=_int_in_range(raw, "beat_ms", 10, MAX_TIME_MS, 30_000),
+        up_ms=_int_in_range(raw, "up_ms", 10, MAX_TIME_MS, 5_000),
         classes={
-            name: ClassConfig(_within(item, "category", 0, 255), _within(item, "patience_ms", 1, MOST_MS))
+            name: ClassConfig(
+                _int_in_range(item, "category", 0, 255), _int_in_range(item, "patience_ms", 1, MAX_TIME_MS)
+            )
             for name, item in raw["classes"].items()
         },
         numbers={
-            str(prefix).lower(): _within(raw["numbers"], prefix, 0, 0xFFFF) for prefix in raw["numbers"]
+            str(prefix).lower(): _int_in_range(raw["numbers"], prefix, 0, 0xFFFF) for prefix in raw["numbers"]
         },
         peers=peers,
     )
 
 
-def _snmp(raw: dict[str, Any]) -> SnmpConfig:
+def _parse_snmp(raw: dict[str, Any]) -> SnmpConfig:
     return SnmpConfig(parse_address(raw["listen"], "snmp.listen"), str(raw["community"]))
