--- a/barleywheel/benchlink.py
+++ b/barleywheel/benchlink.py
@@ -1,7 +1,7 @@
-"""The simulator's wire: binary frames on standard input and output, one Controller an instance.
+"""The simulator's protocol: binary frames on standard input and output, one Controller for each agent.
 
-Translation only. Every choice is made in ``barleywheel.controller``; nothing here is shared
-between instances except the numbered lists that the wire itself shares.
+This module only translates; ``barleywheel.controller`` makes every decision. Instances share nothing but the
+numbered exchange lists, which the protocol itself shares between them.
 """
 
 from __future__ import annotations
@@ -16,35 +16,36 @@
 from barleywheel import interface as api
 from barleywheel.controller import Controller
 
-HEADER = struct.Struct("<IQI")
-REPLY = struct.Struct("<II")
-RECORD = struct.Struct("<HI")
-OPEN = struct.Struct("<HQI")
-PAGE = struct.Struct("<II")
-ENTRY = struct.Struct("<B6sfBQBH")
-DISCOVERY = struct.Struct("<HBII")
-ACCEPT = struct.Struct("<HIIfIQHIfHf")
-STANDS = struct.Struct("<HIB6sI")
-COMPLETED = struct.Struct("<HIB6sHIBIB")
-PROBED = struct.Struct("<H6sHIB")
-PAIR = struct.Struct("<HI")
-PEER = struct.Struct("<HHH")
-AGENT = struct.Struct("<H")
-ISSUE = struct.Struct("<HI6sI")
-REFUSE = struct.Struct("<HII")
-ABORT = struct.Struct("<HIB")
-REMIND = struct.Struct("<HIQ")
-PROBE = struct.Struct("<H6s")
-MEMO = struct.Struct("<HHH")
-TEXT = struct.Struct("<HH")
-NOTE = struct.Struct("<BHB")  # a peer report: mark, cell, accept fraction; a bit an exchange follows
-NOTE_MARK = 0xC1  # tells the layout
-NOTE_LIMIT = 256  # bytes of a message
-WATCH = struct.Struct("<HB")
-EVERY_PEER = 0xFFFF
-TEXT_LIMIT = 0xFFFF
-
-OUTCOMES = {
+FRAME_HEADER = struct.Struct("<IQI")
+REPLY_HEADER = struct.Struct("<II")
+RECORD_HEADER = struct.Struct("<HI")
+OPEN_HEADER = struct.Struct("<HQI")
+EXCHANGE_LIST_HEADER = struct.Struct("<II")
+EXCHANGE_LIST_ENTRY = struct.Struct("<B6sfBQBH")
+DISCOVERY_RECORD = struct.Struct("<HBII")
+ACCEPT_RECORD = struct.Struct("<HIIfIQHIfHf")
+ACCEPTED_RECORD = struct.Struct("<HIB6sI")
+COMPLETED_RECORD = struct.Struct("<HIB6sHIBIB")
+PROBE_DONE_RECORD = struct.Struct("<H6sHIB")
+AGENT_AND_NUMBER = struct.Struct("<HI")  # the number of a call or the token of a timer
+FROM_PEER_HEADER = struct.Struct("<HHH")
+AGENT_ID = struct.Struct("<H")
+SET_UP_RECORD = struct.Struct("<HI6sI")
+REFUSE_RECORD = struct.Struct("<HII")
+CANCEL_RECORD = struct.Struct("<HIB")
+SET_TIMER_RECORD = struct.Struct("<HIQ")
+PROBE_RECORD = struct.Struct("<H6s")
+PEER_MESSAGE_HEADER = struct.Struct("<HHH")
+TEXT_HEADER = struct.Struct("<HH")
+# Mark, cell, accept fraction; a bit map of the reachable cells follows.
+PEER_REPORT = struct.Struct("<BHB")
+PEER_REPORT_MARK = 0xC1  # identifies the layout
+PEER_MESSAGE_LIMIT_BYTES = 256
+SUBSCRIBE_RECORD = struct.Struct("<HB")
+ALL_PEERS = 0xFFFF
+TEXT_LIMIT_BYTES = 0xFFFF
+
+OUTCOME_BY_CODE = {
     0: api.Outcome.OK,
     255: api.Outcome.ERROR,
     254: api.Outcome.REJECTED,
@@ -67,33 +68,33 @@
 
 
 class WireError(Exception):
-    """The frame or a record in it contradicts itself."""
+    """A frame or a record in it is truncated or inconsistent."""
 
 
 class SettingsError(Exception):
-    """A necessary setting is missing or has no usable value."""
+    """A required setting is missing or a setting has an invalid value."""
 
 
-def _need(table: dict[str, Any], key: str, where: str) -> Any:
+def _required(table: dict[str, Any], key: str, prefix: str) -> Any:
     if table.get(key) is None:
-        raise SettingsError(f"necessary setting missing: {where}{key}")
+        raise SettingsError(f"required setting missing: {prefix}{key}")
     return table[key]
 
 
-def _get(table: dict[str, Any], key: str, default: Any) -> Any:
-    """A setting, or its neutral meaning where it is missing or null."""
+def _optional(table: dict[str, Any], key: str, default: Any) -> Any:
+    """A setting, or ``default`` if it is missing or null."""
     value = table.get(key)
     return default if value is None else value
 
 
-def _at(values: Any, index: int, default: Any) -> Any:
+def _item_or_default(values: Any, index: int, default: Any) -> Any:
     if not isinstance(values, list) or index >= len(values) or values[index] is None:
         return default
     return values[index]
 
 
 def parse_settings(text: bytes) -> tuple[api.Settings, list[str]]:
-    """Translate the options text; returns the settings and the names of the report's values."""
+    """Parse the settings; return them and the names of the fields of a load report."""
     try:
         raw = json.loads(text)
     except ValueError as error:
@@ -101,34 +102,34 @@
     if not isinstance(raw, dict):
         raise SettingsError("settings are not a JSON object")
     try:
-        return _settings(raw)
+        return _settings_from_json(raw)
     except (TypeError, ValueError, OverflowError, AttributeError) as error:
-        raise SettingsError(f"setting with an unusable value: {error}") from error
+        raise SettingsError(f"setting with an invalid value: {error}") from error
 
 
-def _settings(raw: dict[str, Any]) -> tuple[api.Settings, list[str]]:
+def _settings_from_json(raw: dict[str, Any]) -> tuple[api.Settings, list[str]]:
     family = raw.get("family_info") or {}
     limits = raw.get("limits") or {}
     contract = raw.get("contract") or {}
     report = raw.get("report") or {}
     classes = []
-    if not isinstance(_need(raw, "classes", ""), list) or not raw["classes"]:
-        raise SettingsError("necessary setting without entries: classes")
+    if not isinstance(_required(raw, "classes", ""), list) or not raw["classes"]:
+        raise SettingsError("required setting without entries: classes")
     for index, item in enumerate(raw["classes"]):
-        hold = _at(family.get("mean_hold_us"), index, None)
-        deadline = int(_need(item, "hard_limit_us", f"classes[{index}]."))
+        mean_hold_us = _item_or_default(family.get("mean_hold_us"), index, None)
+        deadline_us = int(_required(item, "hard_limit_us", f"classes[{index}]."))
         classes.append(
             api.CallClass(
-                aim_us=int(_get(item, "aim_us", deadline)),
-                deadline_us=deadline,
-                worth=float(_get(item, "worth", 1.0)),
-                late_share=float(_get(item, "late_share", 0.0)),
-                effect=api.Effect(_get(item, "idempotency", "free")),
-                scope=api.Scope(_get(item, "group", "all")),
-                window_us=int(_get(item, "window_us", 0)),
-                mean_hold_us=None if hold is None else int(hold),
-                width=float(_at(family.get("widths"), index, 1.0)),
-                pools=tuple(_at(family.get("pools_by_class"), index, ())),
+                aim_us=int(_optional(item, "aim_us", deadline_us)),
+                deadline_us=deadline_us,
+                worth=float(_optional(item, "worth", 1.0)),
+                late_share=float(_optional(item, "late_share", 0.0)),
+                effect=api.Effect(_optional(item, "idempotency", "free")),
+                scope=api.Scope(_optional(item, "group", "all")),
+                window_us=int(_optional(item, "window_us", 0)),
+                mean_hold_us=None if mean_hold_us is None else int(mean_hold_us),
+                width=float(_item_or_default(family.get("widths"), index, 1.0)),
+                pools=tuple(_item_or_default(family.get("pools_by_class"), index, ())),
             )
         )
     tenants = [
@@ -137,290 +138,303 @@
     ]
     settings = api.Settings(
         classes=classes,
-        controller_number=int(_get(raw, "my_number", 0)),
-        controllers=max(1, int(_get(raw, "balancers", 1))),
-        home_cell=int(_get(family, "home_no", -1)),
+        controller_number=int(_optional(raw, "my_number", 0)),
+        controllers=max(1, int(_optional(raw, "balancers", 1))),
+        home_cell=int(_optional(family, "home_no", -1)),
         pools=family.get("layout") == "pools",
         tenants=tenants,
-        over_share_worth=float(_get(raw, "over_share_worth", 1.0)),
-        guard_us=int(_get(family, "guard_us", 0)),
-        repeat_us=int(_get(family, "repeat_us", 0)),
-        reports_in_answers=_get(family, "peer_load", _get(report, "how", "answers")) == "answers",
-        route_advice=bool(_get(family, "route_advice", False)),
+        over_share_worth=float(_optional(raw, "over_share_worth", 1.0)),
+        guard_us=int(_optional(family, "guard_us", 0)),
+        repeat_us=int(_optional(family, "repeat_us", 0)),
+        reports_in_answers=_optional(family, "peer_load", _optional(report, "how", "answers")) == "answers",
+        route_advice=bool(_optional(family, "route_advice", False)),
         max_attempts=int(limits["send_cap"]) if limits.get("send_cap") else None,
-        may_cancel=bool(_get(limits, "cancel", False)),
-        may_probe=bool(_get(limits, "probing", False)),
-        may_message=bool(_get(limits, "peers", False)),
-        retry_after=bool(_get(limits, "retry_after", False)),
-        max_retry_after_us=int(_get(limits, "max_retry_after_us", 0)),
+        may_cancel=bool(_optional(limits, "cancel", False)),
+        may_probe=bool(_optional(limits, "probing", False)),
+        may_message=bool(_optional(limits, "peers", False)),
+        retry_after=bool(_optional(limits, "retry_after", False)),
+        max_retry_after_us=int(_optional(limits, "max_retry_after_us", 0)),
         discovery_on_request=raw.get("discovery") == "on_request",
-        ask_within_us=int(_get(contract, "ask_within_us", 10_000_000)),
-        cold_from=float(_get(contract, "cold_from", 1.0)),
-        cold_us=int(_get(contract, "cold_us", 0)),
-        tip_multiple=float(_get(contract, "tip_multiple", 1.0)),
-        fall_us=int(_get(contract, "fall_us", 1_000_000)),
-        tick_us=int(_get(raw, "tick_us", 1_000)),
-        callers_mark_redials=bool(_get(raw.get("client_habits") or {}, "marks_retry", False)),
+        ask_within_us=int(_optional(contract, "ask_within_us", 10_000_000)),
+        cold_from=float(_optional(contract, "cold_from", 1.0)),
+        cold_us=int(_optional(contract, "cold_us", 0)),
+        tip_multiple=float(_optional(contract, "tip_multiple", 1.0)),
+        fall_us=int(_optional(contract, "fall_us", 1_000_000)),
+        tick_us=int(_optional(raw, "tick_us", 1_000)),
+        callers_mark_redials=bool(_optional(raw.get("client_habits") or {}, "marks_retry", False)),
     )
     return settings, [str(name) for name in report.get("fields") or []]
 
 
-def _number(value: float) -> int | None:
-    """A small number carried as a float; -1 and nonsense mean none."""
+def _optional_int(value: float) -> int | None:
+    """Convert a small number carried as a float; None for -1 and all other negative or non-finite values."""
     return int(value) if math.isfinite(value) and value >= 0 else None
 
 
 class Instance:
-    """One hosted controller and the meaning of its load reports."""
+    """The controller of one agent, with the layout of its load reports."""
 
     def __init__(self, settings: api.Settings, fields: list[str], seed: int) -> None:
         self.controller = Controller(settings, seed)
-        self.fields = [LOAD_ATTRIBUTE_BY_FIELD.get(name) for name in fields]
+        self.load_attributes = [LOAD_ATTRIBUTE_BY_FIELD.get(name) for name in fields]
 
-    def load(self, body: bytes, at: int, count: int) -> api.Load:
-        """Translate a load report; the wire's -1 and anything not finite mean unknown."""
+    def decode_load(self, body: bytes, offset: int, count: int) -> api.Load:
+        """Decode a load report; -1 and all other negative or non-finite values mean unknown."""
         load = api.Load()
-        for name, value in zip(self.fields, struct.unpack_from(f"<{count}f", body, at), strict=False):
+        for name, value in zip(
+            self.load_attributes, struct.unpack_from(f"<{count}f", body, offset), strict=False
+        ):
             if name is not None and math.isfinite(value) and value >= 0:
                 setattr(load, name, value)
         return load
 
 
 class BatchDecoder:
-    """Decodes batches, runs the controllers, encodes their actions."""
+    """Decodes frames, passes their events to the controllers and encodes the resulting actions."""
 
     def __init__(self) -> None:
         self.instances: dict[int, Instance] = {}
-        self.pages: dict[int, list[api.ExchangeEntry]] = {}
+        self.exchange_lists: dict[int, list[api.ExchangeEntry]] = {}
 
-    def batch(self, frame: bytes) -> bytes:
-        """Answer one complete frame."""
-        size, now_us, number = HEADER.unpack_from(frame)
+    def handle_frame(self, frame: bytes) -> bytes:
+        """Process one complete frame and return the reply frame."""
+        size, now_us, number = FRAME_HEADER.unpack_from(frame)
         if size != len(frame):
-            raise WireError("frame length contradicts its header")
+            raise WireError("frame length differs from the length in its header")
         out: list[bytes] = []
-        at = HEADER.size
-        while at < size:
-            if at + RECORD.size > size:
-                raise WireError("record header cut short")
-            code, length = RECORD.unpack_from(frame, at)
-            at += RECORD.size
-            if at + length > size:
-                raise WireError("record longer than its frame")
+        offset = FRAME_HEADER.size
+        while offset < size:
+            if offset + RECORD_HEADER.size > size:
+                raise WireError("truncated record header")
+            code, length = RECORD_HEADER.unpack_from(frame, offset)
+            offset += RECORD_HEADER.size
+            if offset + length > size:
+                raise WireError("record extends beyond its frame")
             try:
-                self._record(code, frame[at : at + length], now_us, out)
+                self._handle_record(code, frame[offset : offset + length], now_us, out)
             except struct.error as error:
-                raise WireError(f"record of code {code} cut short: {error}") from error
-            at += length
+                raise WireError(f"truncated record with code {code}: {error}") from error
+            offset += length
         body = b"".join(out)
-        return REPLY.pack(REPLY.size + len(body), number) + body
+        return REPLY_HEADER.pack(REPLY_HEADER.size + len(body), number) + body
 
-    def _record(self, code: int, body: bytes, now_us: int, out: list[bytes]) -> None:
+    def _handle_record(self, code: int, body: bytes, now_us: int, out: list[bytes]) -> None:
         if code == 1:
-            self._open(body, out)
+            self._open_instance(body, out)
         elif code == 11:
-            self._page(body)
+            self._store_exchange_list(body)
         elif code == 10:
-            self.instances.pop(AGENT.unpack_from(body)[0], None)
-        elif code in EVENTS:
-            agent = AGENT.unpack_from(body)[0]
-            instance = self.instances.get(agent)
+            self.instances.pop(AGENT_ID.unpack_from(body)[0], None)
+        elif code in DECODER_BY_RECORD_CODE:
+            agent_id = AGENT_ID.unpack_from(body)[0]
+            instance = self.instances.get(agent_id)
             if instance is None:
                 return
-            event = EVENTS[code](self, instance, body)
+            event = DECODER_BY_RECORD_CODE[code](self, instance, body)
             if event is None:
                 return
             try:
                 actions = instance.controller.handle(now_us, event)
-                out.extend(encode(agent, action) for action in actions)
+                out.extend(encode(agent_id, action) for action in actions)
             except Exception as error:
-                report_failure(agent, f"{type(error).__name__}: {error}", out)
+                report_failure(agent_id, f"{type(error).__name__}: {error}", out)
 
-    def _open(self, body: bytes, out: list[bytes]) -> None:
-        agent, seed, length = OPEN.unpack_from(body)
-        if OPEN.size + length > len(body):
-            raise WireError("settings longer than their record")
+    def _open_instance(self, body: bytes, out: list[bytes]) -> None:
+        agent_id, seed, length = OPEN_HEADER.unpack_from(body)
+        if OPEN_HEADER.size + length > len(body):
+            raise WireError("settings extend beyond their record")
         try:
-            settings, fields = parse_settings(body[OPEN.size : OPEN.size + length])
-            self.instances[agent] = Instance(settings, fields, seed)
+            settings, fields = parse_settings(body[OPEN_HEADER.size : OPEN_HEADER.size + length])
+            self.instances[agent_id] = Instance(settings, fields, seed)
         except Exception as error:
-            self.instances.pop(agent, None)
-            report_failure(agent, f"{type(error).__name__}: {error}", out)
+            self.instances.pop(agent_id, None)
+            report_failure(agent_id, f"{type(error).__name__}: {error}", out)
 
-    def _page(self, body: bytes) -> None:
-        number, count = PAGE.unpack_from(body)
-        if PAGE.size + count * ENTRY.size > len(body):
-            raise WireError("list longer than its record")
+    def _store_exchange_list(self, body: bytes) -> None:
+        number, count = EXCHANGE_LIST_HEADER.unpack_from(body)
+        if EXCHANGE_LIST_HEADER.size + count * EXCHANGE_LIST_ENTRY.size > len(body):
+            raise WireError("exchange list extends beyond its record")
         entries = []
         for index in range(count):
-            fields = ENTRY.unpack_from(body, PAGE.size + index * ENTRY.size)
+            fields = EXCHANGE_LIST_ENTRY.unpack_from(
+                body, EXCHANGE_LIST_HEADER.size + index * EXCHANGE_LIST_ENTRY.size
+            )
             zone, exchange, share, kind, launched_us, state, cell = fields
             entries.append(
                 api.ExchangeEntry(
                     exchange, cell, api.ExchangeState(min(state, 2)), zone, share, kind, launched_us
                 )
             )
-        self.pages[number] = entries
+        self.exchange_lists[number] = entries
 
-    def discovery(self, _: Instance, body: bytes) -> api.Event:
-        """DISCOVERY, its page looked up in event order."""
-        _, mode, _, number = DISCOVERY.unpack_from(body)
+    def decode_discovery(self, _: Instance, body: bytes) -> api.Event:
+        """Decode DISCOVERY; its exchange list is the latest one received under that number so far."""
+        _, mode, _, number = DISCOVERY_RECORD.unpack_from(body)
         if mode > max(api.ListMode):
-            raise WireError(f"discovery of unknown mode {mode}")
+            raise WireError(f"discovery with unknown mode {mode}")
         failed = mode == api.ListMode.FAILED
-        return api.Discovery(api.ListMode(mode), [] if failed else self.pages.get(number, []))
-
-    def offered(self, _: Instance, body: bytes) -> api.Event:
-        """ACCEPT."""
-        fields = ACCEPT.unpack_from(body)
-        _, call, left, destination, tenant, key, flags, _, advised, profile, width = fields
-        transit = bool(flags & 8)
-        place = _number(advised)
-        target = _number(destination)
+        return api.Discovery(api.ListMode(mode), [] if failed else self.exchange_lists.get(number, []))
+
+    def decode_call_offered(self, _: Instance, body: bytes) -> api.Event:
+        """Decode ACCEPT: a call is offered."""
+        fields = ACCEPT_RECORD.unpack_from(body)
+        _, call, time_left_us, destination, tenant, called_number, flags, _, cell, call_class, width = fields
+        in_transit = bool(flags & 8)
+        advised_or_source_cell = _optional_int(cell)
+        destination_cell = _optional_int(destination)
         return api.CallOffered(
             call=call,
-            time_left_us=left,
-            destination=-1 if target is None else target,
-            call_class=profile,
+            time_left_us=time_left_us,
+            destination=-1 if destination_cell is None else destination_cell,
+            call_class=call_class,
             tenant=tenant,
-            called_number=key,
+            called_number=called_number,
             redialled=bool(flags & 2),
-            in_transit=transit,
+            in_transit=in_transit,
             interrupted_before=bool(flags & 16),
-            advised_cell=None if transit else place,
-            source_cell=place if transit else None,
+            advised_cell=None if in_transit else advised_or_source_cell,
+            source_cell=advised_or_source_cell if in_transit else None,
             width=width if math.isfinite(width) and width > 0 else 1.0,
         )
 
-    def stands(self, _: Instance, body: bytes) -> api.Event:
-        """ACCEPTED."""
-        _, call, attempt, exchange, elapsed = STANDS.unpack_from(body)
+    def decode_call_established(self, _: Instance, body: bytes) -> api.Event:
+        """Decode ACCEPTED: a call is established."""
+        _, call, attempt, exchange, elapsed = ACCEPTED_RECORD.unpack_from(body)
         return api.CallStands(call, attempt, exchange, elapsed)
 
-    def ended(self, instance: Instance, body: bytes) -> api.Event:
-        """COMPLETED."""
-        fields = COMPLETED.unpack_from(body)
-        _, call, attempt, exchange, ending, elapsed, final, clear, count = fields
-        low, high = clear & 15, clear >> 4
-        cause = api.Cause(low) if low <= max(api.Cause) else api.Cause.NONE
-        waits = cause is api.Cause.PROCESSOR_OVERLOADED and high > 0
+    def decode_attempt_ended(self, instance: Instance, body: bytes) -> api.Event:
+        """Decode COMPLETED: an attempt ended, with a load report."""
+        fields = COMPLETED_RECORD.unpack_from(body)
+        _, call, attempt, exchange, outcome_code, elapsed, final, cause_and_detail, count = fields
+        # The low four bits are the release cause; the others depend on it: a flag for a crankback, a waiting
+        # time in milliseconds for an overloaded processor.
+        cause_code, detail = cause_and_detail & 15, cause_and_detail >> 4
+        cause = api.Cause(cause_code) if cause_code <= max(api.Cause) else api.Cause.NONE
+        must_wait = cause is api.Cause.PROCESSOR_OVERLOADED and detail > 0
         return api.AttemptEnded(
             call=call,
             attempt=attempt,
             exchange=exchange,
-            outcome=OUTCOMES.get(ending, api.Outcome.ERROR),
+            outcome=OUTCOME_BY_CODE.get(outcome_code, api.Outcome.ERROR),
             elapsed_us=elapsed,
             final=bool(final),
             cause=cause,
-            downstream_overloaded=cause is api.Cause.CRANKBACK and high == 1,
-            wait_us=high * 1000 if waits else None,
-            load=instance.load(body, COMPLETED.size, count),
+            downstream_overloaded=cause is api.Cause.CRANKBACK and detail == 1,
+            wait_us=detail * 1000 if must_wait else None,
+            load=instance.decode_load(body, COMPLETED_RECORD.size, count),
         )
 
-    def gone(self, _: Instance, body: bytes) -> api.Event:
-        """HANGUP."""
-        return api.CallerGone(PAIR.unpack_from(body)[1])
-
-    def timer(self, _: Instance, body: bytes) -> api.Event:
-        """BELL."""
-        return api.TimerDue(PAIR.unpack_from(body)[1])
-
-    def probed(self, instance: Instance, body: bytes) -> api.Event:
-        """PROBE_DONE."""
-        _, exchange, ending, elapsed, count = PROBED.unpack_from(body)
-        outcome = OUTCOMES.get(ending, api.Outcome.ERROR)
-        return api.LoadSeen(exchange, outcome, elapsed, instance.load(body, PROBED.size, count))
-
-    def peer(self, _: Instance, body: bytes) -> api.Event | None:
-        """FROM_PEER; a payload that is no report of ours is dropped."""
-        _, _, count = PEER.unpack_from(body)
-        payload = body[PEER.size : PEER.size + count]
-        if len(payload) < NOTE.size or len(payload) != count:
+    def decode_caller_gone(self, _: Instance, body: bytes) -> api.Event:
+        """Decode HANGUP: the caller gave the call up."""
+        return api.CallerGone(AGENT_AND_NUMBER.unpack_from(body)[1])
+
+    def decode_timer_due(self, _: Instance, body: bytes) -> api.Event:
+        """Decode BELL: a timer is due."""
+        return api.TimerDue(AGENT_AND_NUMBER.unpack_from(body)[1])
+
+    def decode_probe_result(self, instance: Instance, body: bytes) -> api.Event:
+        """Decode PROBE_DONE: the result of a probe, with a load report."""
+        _, exchange, outcome_code, elapsed, count = PROBE_DONE_RECORD.unpack_from(body)
+        outcome = OUTCOME_BY_CODE.get(outcome_code, api.Outcome.ERROR)
+        return api.LoadSeen(
+            exchange, outcome, elapsed, instance.decode_load(body, PROBE_DONE_RECORD.size, count)
+        )
+
+    def decode_peer_report(self, _: Instance, body: bytes) -> api.Event | None:
+        """Decode FROM_PEER; None if the payload is not a peer report in this layout."""
+        _, _, count = FROM_PEER_HEADER.unpack_from(body)
+        payload = body[FROM_PEER_HEADER.size : FROM_PEER_HEADER.size + count]
+        if len(payload) < PEER_REPORT.size or len(payload) != count:
             return None
-        mark, cell, accept = NOTE.unpack_from(payload)
-        if mark != NOTE_MARK:
+        mark, cell, accept = PEER_REPORT.unpack_from(payload)
+        if mark != PEER_REPORT_MARK:
             return None
-        return api.PeerReport(cell, accept / 255, int.from_bytes(payload[NOTE.size :], "little"))
-
-
-EVENTS: dict[int, Callable[[BatchDecoder, Instance, bytes], api.Event | None]] = {
-    2: BatchDecoder.discovery,
-    3: BatchDecoder.offered,
-    4: BatchDecoder.stands,
-    5: BatchDecoder.ended,
-    6: BatchDecoder.gone,
-    7: BatchDecoder.timer,
-    8: BatchDecoder.probed,
-    9: BatchDecoder.peer,
+        return api.PeerReport(cell, accept / 255, int.from_bytes(payload[PEER_REPORT.size :], "little"))
+
+
+DECODER_BY_RECORD_CODE: dict[int, Callable[[BatchDecoder, Instance, bytes], api.Event | None]] = {
+    2: BatchDecoder.decode_discovery,
+    3: BatchDecoder.decode_call_offered,
+    4: BatchDecoder.decode_call_established,
+    5: BatchDecoder.decode_attempt_ended,
+    6: BatchDecoder.decode_caller_gone,
+    7: BatchDecoder.decode_timer_due,
+    8: BatchDecoder.decode_probe_result,
+    9: BatchDecoder.decode_peer_report,
 }
 
 
-def record(code: int, body: bytes) -> bytes:
-    """Frame one record."""
-    return RECORD.pack(code, len(body)) + body
+def encode_record(code: int, body: bytes) -> bytes:
+    """Encode a record with its header."""
+    return RECORD_HEADER.pack(code, len(body)) + body
 
 
-def report_failure(agent: int, text: str, out: list[bytes]) -> None:
-    """Report that the decisions failed, on the wire and on standard error."""
-    print(f"barleywheel: agent {agent}: {text}", file=sys.stderr)
-    data = text.encode()[:TEXT_LIMIT]
-    out.append(record(74, TEXT.pack(agent, len(data)) + data))
+def report_failure(agent_id: int, text: str, out: list[bytes]) -> None:
+    """Report an agent's failure to the simulator and on standard error."""
+    print(f"barleywheel: agent {agent_id}: {text}", file=sys.stderr)
+    data = text.encode()[:TEXT_LIMIT_BYTES]
+    out.append(encode_record(74, TEXT_HEADER.pack(agent_id, len(data)) + data))
 
 
-def encode(agent: int, action: api.Action) -> bytes:
-    """Encode one action of an instance."""
+def encode(agent_id: int, action: api.Action) -> bytes:
+    """Encode an action of an agent as a record."""
     match action:
         case api.SetUp():
-            return record(65, ISSUE.pack(agent, action.call, action.exchange, action.limit_us))
+            return encode_record(
+                65, SET_UP_RECORD.pack(agent_id, action.call, action.exchange, action.limit_us)
+            )
         case api.Refuse():
-            return record(66, REFUSE.pack(agent, action.call, action.retry_after_us))
+            return encode_record(66, REFUSE_RECORD.pack(agent_id, action.call, action.retry_after_us))
         case api.Fail():
-            return record(67, PAIR.pack(agent, action.call))
+            return encode_record(67, AGENT_AND_NUMBER.pack(agent_id, action.call))
         case api.Cancel():
-            return record(68, ABORT.pack(agent, action.call, action.attempt))
+            return encode_record(68, CANCEL_RECORD.pack(agent_id, action.call, action.attempt))
         case api.SetTimer():
-            return record(69, REMIND.pack(agent, action.token, action.due_us))
+            return encode_record(69, SET_TIMER_RECORD.pack(agent_id, action.token, action.due_us))
         case api.Probe():
-            return record(70, PROBE.pack(agent, action.exchange))
+            return encode_record(70, PROBE_RECORD.pack(agent_id, action.exchange))
         case api.PeerReport():
             reachable = action.reachable_cells.to_bytes(
                 (action.reachable_cells.bit_length() + 7) // 8, "little"
             )
-            note = NOTE.pack(NOTE_MARK, action.cell, round(action.accept_fraction * 255)) + reachable
-            note = note[:NOTE_LIMIT]
-            return record(72, MEMO.pack(agent, EVERY_PEER, len(note)) + note)
+            report = (
+                PEER_REPORT.pack(PEER_REPORT_MARK, action.cell, round(action.accept_fraction * 255))
+                + reachable
+            )
+            report = report[:PEER_MESSAGE_LIMIT_BYTES]
+            return encode_record(72, PEER_MESSAGE_HEADER.pack(agent_id, ALL_PEERS, len(report)) + report)
         case api.Log():
-            data = action.text.encode()[:TEXT_LIMIT]
-            return record(73, TEXT.pack(agent, len(data)) + data)
+            data = action.text.encode()[:TEXT_LIMIT_BYTES]
+            return encode_record(73, TEXT_HEADER.pack(agent_id, len(data)) + data)
         case api.Subscribe():
-            return record(75, WATCH.pack(agent, 1))
+            return encode_record(75, SUBSCRIBE_RECORD.pack(agent_id, 1))
         case api.FetchList():
-            return record(76, AGENT.pack(agent))
+            return encode_record(76, AGENT_ID.pack(agent_id))
 
 
 def read_frame(source: BinaryIO) -> bytes | None:
-    """Read one frame; None at the end of input between frames."""
+    """Read one frame; None if the input ends where a frame would begin."""
     head = source.read(4)
     if not head:
         return None
     size = int.from_bytes(head, "little")
-    if len(head) < 4 or size < HEADER.size:
-        raise WireError("frame header cut short or too small a length")
+    if len(head) < 4 or size < FRAME_HEADER.size:
+        raise WireError("truncated frame header, or frame length too small")
     rest = source.read(size - 4)
     if len(rest) < size - 4:
-        raise WireError("frame cut short")
+        raise WireError("truncated frame")
     return head + rest
 
 
 def main() -> int:
-    """Serve batches until the end of input."""
+    """Process frames until the end of input."""
     decoder = BatchDecoder()
     try:
         while (frame := read_frame(sys.stdin.buffer)) is not None:
-            sys.stdout.buffer.write(decoder.batch(frame))
+            sys.stdout.buffer.write(decoder.handle_frame(frame))
             sys.stdout.buffer.flush()
     except WireError as error:
-        print(f"barleywheel: bad input: {error}", file=sys.stderr)
+        print(f"barleywheel: invalid input: {error}", file=sys.stderr)
         return 1
     return 0
 
--- a/tests/test_benchlink.py
+++ b/tests/test_benchlink.py
@@ -1,4 +1,4 @@
-"""The wire: codec, bad input, and the command run as the deploy file runs it."""
+"""The simulator's protocol: codec, invalid input, and the command as the deploy file runs it."""
 
 from __future__ import annotations
 
@@ -25,47 +25,47 @@
     "limits": {"cancel": True, "send_cap": 4},
     "report": {"fields": ["free", "size", "pending", "can_take"], "how": "answers"},
     "tick_us": 5000,
-    "a_key_of_tomorrow": {"x": 1},
+    "unknown_key": {"x": 1},
 }
 
 
-def xid(cell: int) -> bytes:
+def exchange_id(cell: int) -> bytes:
     return bytes([10, 0, 0, cell, 0x40, 0x1F])
 
 
 def frame(now: int, number: int, *records: tuple[int, bytes]) -> bytes:
-    body = b"".join(benchlink.record(code, data) for code, data in records)
+    body = b"".join(benchlink.encode_record(code, data) for code, data in records)
     return struct.pack("<IQI", 16 + len(body), now, number) + body
 
 
-def opened(agent: int = 0, seed: int = 7, **changes: Any) -> tuple[int, bytes]:
+def open_record(agent: int = 0, seed: int = 7, **changes: Any) -> tuple[int, bytes]:
     text = json.dumps(OPTIONS | changes).encode()
     return 1, struct.pack("<HQI", agent, seed, len(text)) + text
 
 
-def page(number: int = 0) -> tuple[int, bytes]:
-    lines = [struct.pack("<B6sfBQBH", 0, xid(c), 1.0, 0, 0, 0, c) for c in range(3)]
+def exchange_list_record(number: int = 0) -> tuple[int, bytes]:
+    lines = [struct.pack("<B6sfBQBH", 0, exchange_id(c), 1.0, 0, 0, 0, c) for c in range(3)]
     return 11, struct.pack("<II", number, len(lines)) + b"".join(lines)
 
 
-def listed(agent: int = 0) -> tuple[int, bytes]:
+def discovery_record(agent: int = 0) -> tuple[int, bytes]:
     return 2, struct.pack("<HBII", agent, 2, 41, 0)
 
 
-def offered(call: int, to: float = 1.0, agent: int = 0, flags: int = 0) -> tuple[int, bytes]:
+def accept_record(call: int, to: float = 1.0, agent: int = 0, flags: int = 0) -> tuple[int, bytes]:
     return 3, struct.pack("<HIIfIQHIfHf", agent, call, 3000000, to, 0, 99, flags, 12000, -1.0, 0, 1.0)
 
 
 def actions(reply: bytes) -> list[tuple[int, bytes]]:
-    out, at = [], 8
-    while at < len(reply):
-        code, size = struct.unpack_from("<HI", reply, at)
-        out.append((code, reply[at + 6 : at + 6 + size]))
-        at += 6 + size
+    out, offset = [], 8
+    while offset < len(reply):
+        code, size = struct.unpack_from("<HI", reply, offset)
+        out.append((code, reply[offset + 6 : offset + 6 + size]))
+        offset += 6 + size
     return out
 
 
-def codes(reply: bytes) -> list[int]:
+def action_codes(reply: bytes) -> list[int]:
     return [code for code, _ in actions(reply)]
 
 
@@ -75,23 +75,32 @@
     return [sys.executable, *text.split()[2:]]
 
 
-def serve(data: bytes, **env: str) -> subprocess.CompletedProcess[bytes]:
+def run_command(data: bytes, **env: str) -> subprocess.CompletedProcess[bytes]:
     return subprocess.run(
         command(), input=data, capture_output=True, cwd=ROOT, env=os.environ | env, timeout=60, check=False
     )
 
 
-def day(agents: list[int]) -> bytes:
-    """A made-up stretch for some agents; what each is told does not depend on the others."""
-    out = [frame(1000, 1, page(), *[r for a in agents for r in (opened(a, 7 + a), listed(a))])]
+def made_up_frames(agents: list[int]) -> bytes:
+    """Made-up frames for some agents; the records of each do not depend on the other agents."""
+    out = [
+        frame(
+            1000,
+            1,
+            exchange_list_record(),
+            *[r for a in agents for r in (open_record(a, 7 + a), discovery_record(a))],
+        )
+    ]
     rngs = {a: random.Random(a) for a in agents}
     for turn in range(2, 120):
         records = []
         for a in agents:
             rng = rngs[a]
-            records.append(offered(1000 * turn + a, float(rng.choice([1, 2])), a))
-            ending, load = rng.choice([0, 254, 253]), struct.pack("<4f", rng.randrange(9), 20, 3, 5)
-            body = struct.pack("<HIB6sHIBIB", a, 1000 * (turn - 1) + a, 0, xid(1), ending, 9000, 0, 3, 4)
+            records.append(accept_record(1000 * turn + a, float(rng.choice([1, 2])), a))
+            outcome_code, load = rng.choice([0, 254, 253]), struct.pack("<4f", rng.randrange(9), 20, 3, 5)
+            body = struct.pack(
+                "<HIB6sHIBIB", a, 1000 * (turn - 1) + a, 0, exchange_id(1), outcome_code, 9000, 0, 3, 4
+            )
             records.append((5, body + load))
             records.append((7, struct.pack("<HI", a, turn)))
         out.append(frame(turn * 100_000, turn, *records))
@@ -100,69 +109,71 @@
 
 def by_agent(stream: bytes) -> dict[int, list[tuple[int, bytes]]]:
     out: dict[int, list[tuple[int, bytes]]] = {}
-    at = 0
-    while at < len(stream):
-        size = int.from_bytes(stream[at : at + 4], "little")
-        for code, data in actions(stream[at : at + size]):
+    offset = 0
+    while offset < len(stream):
+        size = int.from_bytes(stream[offset : offset + 4], "little")
+        for code, data in actions(stream[offset : offset + size]):
             out.setdefault(int.from_bytes(data[:2], "little"), []).append((code, data))
-        at += size
+        offset += size
     return out
 
 
-def test_empty_batch_as_the_protocol_shows_it() -> None:
-    reply = benchlink.BatchDecoder().batch(bytes.fromhex("100000005a5c80000000000001000000"))
+def test_empty_frame_of_the_protocol_description() -> None:
+    reply = benchlink.BatchDecoder().handle_frame(bytes.fromhex("100000005a5c80000000000001000000"))
     assert reply == bytes.fromhex("0800000001000000")
 
 
-def test_a_call_is_decoded_and_sent() -> None:
+def test_offered_call_gets_a_set_up() -> None:
     decoder = benchlink.BatchDecoder()
-    decoder.batch(frame(1000, 1, opened(), page(), listed()))
-    sent = dict(actions(decoder.batch(frame(2000, 2, offered(5)))))
-    assert sent[65][:12] == struct.pack("<HI6s", 0, 5, xid(1))
+    decoder.handle_frame(frame(1000, 1, open_record(), exchange_list_record(), discovery_record()))
+    sent = dict(actions(decoder.handle_frame(frame(2000, 2, accept_record(5)))))
+    assert sent[65][:12] == struct.pack("<HI6s", 0, 5, exchange_id(1))
 
 
-def test_fields_of_a_call() -> None:
+def test_fields_of_an_offered_call() -> None:
     decoder = benchlink.BatchDecoder()
     instance = benchlink.Instance(api.Settings([]), [], 1)
     text = "0300 c4913a5d 80a90300 00006442 00000000 640ad2557c3bf091 0800 e02e0000 00008043 0000 00009644"
     with pytest.raises(struct.error):
-        decoder.offered(instance, bytes.fromhex(text)[:30])
-    event = decoder.offered(instance, bytes.fromhex(text))
+        decoder.decode_call_offered(instance, bytes.fromhex(text)[:30])
+    event = decoder.decode_call_offered(instance, bytes.fromhex(text))
     assert isinstance(event, api.CallOffered)
     assert (event.call, event.time_left_us, event.destination) == (0x5D3A91C4, 240_000, 57)
     assert (event.in_transit, event.source_cell, event.advised_cell, event.width) == (True, 256, None, 1200.0)
 
 
-def test_outcome_causes_and_unknown_loads() -> None:
+def test_attempt_causes_and_unknown_load_values() -> None:
     decoder = benchlink.BatchDecoder()
     settings, fields = benchlink.parse_settings(json.dumps(OPTIONS).encode())
     instance = benchlink.Instance(settings, fields, 1)
     load = struct.pack("<4f", 7.0, 20.0, -1.0, float("nan"))
-    body = struct.pack("<HIB6sHIBIB", 0, 5, 1, xid(1), 254, 9000, 1, 18, 4) + load
-    event = decoder.ended(instance, body)
+    body = struct.pack("<HIB6sHIBIB", 0, 5, 1, exchange_id(1), 254, 9000, 1, 18, 4) + load
+    event = decoder.decode_attempt_ended(instance, body)
     assert isinstance(event, api.AttemptEnded)
     assert (event.outcome, event.cause) == (api.Outcome.REJECTED, api.Cause.CRANKBACK)
     assert event.downstream_overloaded
     assert event.load == api.Load(free_circuits=7.0, group_size=20.0)
-    waits = decoder.ended(instance, struct.pack("<HIB6sHIBIB", 0, 5, 1, xid(1), 254, 9, 1, 3 + 16 * 25, 0))
+    waits = decoder.decode_attempt_ended(
+        instance, struct.pack("<HIB6sHIBIB", 0, 5, 1, exchange_id(1), 254, 9, 1, 3 + 16 * 25, 0)
+    )
     assert isinstance(waits, api.AttemptEnded)
     assert (waits.cause, waits.wait_us) == (api.Cause.PROCESSOR_OVERLOADED, 25_000)
 
 
 def test_every_action_is_encoded() -> None:
-    made: list[api.Action] = [
-        api.SetUp(1, xid(1), 5),
+    all_actions: list[api.Action] = [
+        api.SetUp(1, exchange_id(1), 5),
         api.Refuse(1),
         api.Fail(1),
         api.Cancel(1, 0),
         api.SetTimer(1, 2),
-        api.Probe(xid(1)),
+        api.Probe(exchange_id(1)),
         api.PeerReport(4, 0.5, 9),
         api.Log("text"),
         api.Subscribe(),
         api.FetchList(),
     ]
-    assert [benchlink.encode(3, a)[0] for a in made] == [65, 66, 67, 68, 69, 70, 72, 73, 75, 76]
+    assert [benchlink.encode(3, a)[0] for a in all_actions] == [65, 66, 67, 68, 69, 70, 72, 73, 75, 76]
     assert benchlink.encode(3, api.PeerReport(7, 1.0, 0x102)) == bytes.fromhex(
         "48000c0000000300ffff0600c10700ff0201"
     )
@@ -171,70 +182,95 @@
     )
 
 
-@pytest.mark.parametrize("room", [0, 1, 1 << 59, (1 << 60) - 1])
-def test_peer_reports_survive_the_wire(room: int) -> None:
-    sent = benchlink.encode(3, api.PeerReport(7, 51 / 255, room))
+@pytest.mark.parametrize("reachable_cells", [0, 1, 1 << 59, (1 << 60) - 1])
+def test_peer_report_is_encoded_and_decoded(reachable_cells: int) -> None:
+    sent = benchlink.encode(3, api.PeerReport(7, 51 / 255, reachable_cells))
     body = struct.pack("<HH", 0, 3) + sent[10:]  # to agent 0, from 3: the length and the payload
     decoder = benchlink.BatchDecoder()
-    decoder.batch(frame(1000, 1, opened()))
-    assert decoder.peer(decoder.instances[0], body) == api.PeerReport(7, 51 / 255, room)
+    decoder.handle_frame(frame(1000, 1, open_record()))
+    assert decoder.decode_peer_report(decoder.instances[0], body) == api.PeerReport(
+        7, 51 / 255, reachable_cells
+    )
 
 
-def test_a_peer_report_never_outgrows_a_message() -> None:
+def test_peer_report_is_cut_to_the_message_limit() -> None:
     assert len(benchlink.encode(3, api.PeerReport(7, 1.0, 1 << 9000))) == 6 + 2 + 2 + 2 + 256
 
 
 @pytest.mark.parametrize("payload", [b"", b"hi", b"\xc1\x07", b"\xff" * 200, b"\x00" * 4])
-def test_messages_that_are_no_reports_are_dropped(payload: bytes) -> None:
+def test_messages_that_are_not_reports_are_ignored(payload: bytes) -> None:
     decoder = benchlink.BatchDecoder()
-    decoder.batch(frame(1000, 1, opened(), page(), listed()))
+    decoder.handle_frame(frame(1000, 1, open_record(), exchange_list_record(), discovery_record()))
     body = struct.pack("<HHH", 0, 2, len(payload)) + payload
-    assert codes(decoder.batch(frame(2000, 2, (9, body), (9, body[:-1] if payload else body)))) == []
+    assert (
+        action_codes(decoder.handle_frame(frame(2000, 2, (9, body), (9, body[:-1] if payload else body))))
+        == []
+    )
 
 
-def test_settings_missing_optional_null_and_necessary() -> None:
-    bare = {"classes": [{"hard_limit_us": 5, "aim_us": None}], "tenants": None, "limits": None}
-    settings, fields = benchlink.parse_settings(json.dumps(bare).encode())
-    assert (settings.controllers, settings.max_attempts) == (1, None)
-    assert (settings.classes[0].aim_us, fields) == (5, [])
-    for broken in (b"{}", b"[]", b"nonsense", b'{"classes": [{}]}', b'{"classes": []}', b'{"classes": 3}'):
+def test_settings_missing_optional_null_and_required() -> None:
+    minimal_settings = {"classes": [{"hard_limit_us": 5, "aim_us": None}], "tenants": None, "limits": None}
+    settings, fields = benchlink.parse_settings(json.dumps(minimal_settings).encode())
+    assert (settings.controllers, settings.max_attempts, settings.classes[0].aim_us, fields) == (
+        1,
+        None,
+        5,
+        [],
+    )
+    for invalid in (b"{}", b"[]", b"nonsense", b'{"classes": [{}]}', b'{"classes": []}', b'{"classes": 3}'):
         with pytest.raises(benchlink.SettingsError):
-            benchlink.parse_settings(broken)
+            benchlink.parse_settings(invalid)
 
 
-def test_missing_necessary_setting_is_sent_as_the_failure_action() -> None:
-    (action,) = actions(benchlink.BatchDecoder().batch(frame(1, 1, opened(classes=None))))
+def test_missing_required_setting_is_reported_as_a_failure() -> None:
+    (action,) = actions(benchlink.BatchDecoder().handle_frame(frame(1, 1, open_record(classes=None))))
     assert action[0] == 74 and b"classes" in action[1]
 
 
-def test_an_exception_in_the_decisions_is_reported(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_exception_in_the_controller_is_reported(monkeypatch: pytest.MonkeyPatch) -> None:
     decoder = benchlink.BatchDecoder()
-    decoder.batch(frame(1000, 1, opened(), page(), listed()))
+    decoder.handle_frame(frame(1000, 1, open_record(), exchange_list_record(), discovery_record()))
 
-    def broken(*_: object) -> list[api.Action]:
+    def raise_error(*_: object) -> list[api.Action]:
         raise ValueError("broken on purpose")
 
-    monkeypatch.setattr(decoder.instances[0].controller, "handle", broken)
-    (action,) = actions(decoder.batch(frame(2000, 2, offered(5))))
+    monkeypatch.setattr(decoder.instances[0].controller, "handle", raise_error)
+    (action,) = actions(decoder.handle_frame(frame(2000, 2, accept_record(5))))
     assert action[0] == 74 and b"broken on purpose" in action[1]
 
 
-def test_unknown_records_and_foreign_agents_are_skipped() -> None:
-    assert codes(benchlink.BatchDecoder().batch(frame(1, 1, (900, b"abc"), offered(5, agent=8)))) == []
+def test_unknown_records_and_agents_are_ignored() -> None:
+    assert (
+        action_codes(
+            benchlink.BatchDecoder().handle_frame(frame(1, 1, (900, b"abc"), accept_record(5, agent=8)))
+        )
+        == []
+    )
 
 
-def test_pages_are_resolved_in_event_order() -> None:
+def test_exchange_lists_are_resolved_in_record_order() -> None:
     empty = 11, struct.pack("<II", 0, 0)
     decoder = benchlink.BatchDecoder()
-    decoder.batch(frame(1000, 1, opened(0), opened(1), page(), listed(0), empty, listed(1)))
-    reply = decoder.batch(frame(2000, 2, offered(5, agent=0), offered(6, agent=1)))
-    got = by_agent(reply)
-    assert 65 in [c for c, _ in got[0]] and 66 in [c for c, _ in got[1]]
+    decoder.handle_frame(
+        frame(
+            1000,
+            1,
+            open_record(0),
+            open_record(1),
+            exchange_list_record(),
+            discovery_record(0),
+            empty,
+            discovery_record(1),
+        )
+    )
+    reply = decoder.handle_frame(frame(2000, 2, accept_record(5, agent=0), accept_record(6, agent=1)))
+    actions_of_agent = by_agent(reply)
+    assert 65 in [c for c, _ in actions_of_agent[0]] and 66 in [c for c, _ in actions_of_agent[1]]
 
 
-def test_exit_forgets_the_instance() -> None:
+def test_exit_record_removes_the_instance() -> None:
     decoder = benchlink.BatchDecoder()
-    decoder.batch(frame(1000, 1, opened(), (10, struct.pack("<H", 0))))
+    decoder.handle_frame(frame(1000, 1, open_record(), (10, struct.pack("<H", 0))))
     assert not decoder.instances
 
 
@@ -243,33 +279,35 @@
     [
         b"\x10",
         b"\x05\x00\x00\x00",
-        frame(1, 1, offered(5))[:-3],
+        frame(1, 1, accept_record(5))[:-3],
         struct.pack("<IQIHI", 22, 1, 1, 3, 500),
         struct.pack("<IQIH", 18, 1, 1, 3),
-        frame(1, 1, opened(), (3, b"\x00\x00\x01")),
+        frame(1, 1, open_record(), (3, b"\x00\x00\x01")),
         frame(1, 1, (11, struct.pack("<II", 0, 9))),
         frame(1, 1, (1, struct.pack("<HQI", 0, 1, 999))),
     ],
 )
-def test_bad_frames_end_with_one_line_and_an_error(data: bytes) -> None:
-    done = serve(data)
-    assert done.returncode != 0
-    assert len(done.stderr.splitlines()) == 1 and b"Traceback" not in done.stderr
+def test_invalid_input_ends_with_one_line_and_an_error_status(data: bytes) -> None:
+    result = run_command(data)
+    assert result.returncode != 0
+    assert len(result.stderr.splitlines()) == 1 and b"Traceback" not in result.stderr
 
 
-def test_end_of_input_between_frames_is_no_error() -> None:
-    done = serve(bytes.fromhex("100000005a5c80000000000001000000"))
-    assert (done.returncode, done.stdout, done.stderr) == (0, bytes.fromhex("0800000001000000"), b"")
+def test_end_of_input_between_frames_is_not_an_error() -> None:
+    result = run_command(bytes.fromhex("100000005a5c80000000000001000000"))
+    assert (result.returncode, result.stdout, result.stderr) == (0, bytes.fromhex("0800000001000000"), b"")
 
 
-def test_same_actions_under_other_hash_seeds() -> None:
-    replies = {serve(day([0, 1, 2]), PYTHONHASHSEED=seed).stdout for seed in ("0", "1", "77")}
+def test_actions_do_not_depend_on_the_hash_seed() -> None:
+    replies = {
+        run_command(made_up_frames([0, 1, 2]), PYTHONHASHSEED=seed).stdout for seed in ("0", "1", "77")
+    }
     assert len(replies) == 1 and len(replies.pop()) > 5000
 
 
-def test_same_actions_in_one_process_and_in_three() -> None:
-    together = by_agent(serve(day([0, 1, 2])).stdout)
+def test_actions_do_not_depend_on_other_agents_in_the_process() -> None:
+    together = by_agent(run_command(made_up_frames([0, 1, 2])).stdout)
     apart: dict[int, list[tuple[int, bytes]]] = {}
     for agent in range(3):
-        apart |= by_agent(serve(day([agent])).stdout)
+        apart |= by_agent(run_command(made_up_frames([agent])).stdout)
     assert together == apart and len(together) == 3
