--- a/Makefile
+++ b/Makefile
@@ -1,13 +1,13 @@
-# Build, test, lint and run; PYTHON names an interpreter that has the requirements.
+# PYTHON is an interpreter with the requirements installed.
 PYTHON ?= .venv/bin/python
 
 .PHONY: build dev test lint run
 
-# What the deploy file builds, so that there is one recipe only.
+# Runs the build command of the deploy file, so that the recipe exists only once.
 build:
 	sh -c "$$(python3 -c 'import tomllib; print(tomllib.load(open("deploy/balancer.toml", "rb"))["build"])')"
 
-# The tools of the command line and those for test and lint, in the same environment.
+# Also installs the command-line tools and what test and lint need, in the same environment.
 dev: build
 	.venv/bin/python -c 'import tomllib; x = tomllib.load(open("pyproject.toml", "rb"))["project"]["optional-dependencies"]; print(*x["dev"], *x["tools"])' | xargs .venv/bin/pip -q install
 
@@ -19,6 +19,6 @@
 	$(PYTHON) -m ruff check .
 	$(PYTHON) -m mypy
 
-# Needs LB_CONFIG and LB_LISTEN, as the deployment gives them.
+# Needs LB_CONFIG and LB_LISTEN in the environment, as the deployment sets them.
 run:
 	$(PYTHON) -m barleywheel
