--- a/barleywheel/fronts/m3ua.py
+++ b/barleywheel/fronts/m3ua.py
@@ -252,7 +252,7 @@
             sent = self.send(anm)
         except ValueError as error:
             log.warning("answer not passed on, ANM not encodable: ref=%s %s", request.ref, error)
-            self.start_release(circuit, causes.INTERWORKING)
+            self.start_release(circuit, causes.CAUSE_INTERWORKING)
             return False
         if sent:
             circuit.state = CircuitState.ANSWERED
