--- a/barleywheel/fuzz/scripts.py
+++ b/barleywheel/fuzz/scripts.py
@@ -496,23 +496,23 @@
             setup = done[-1 - which % len(done)]
             if setup.conn.open:
                 body = hub.hub_description(peer_hub.name, setup.ref) if setup.answers[-1] < 300 else b""
-                setup.conn.transport.write(hub.answer(setup.message, setup.answers[-1], body))
+                setup.conn.transport.write(hub.encode_response(setup.message, setup.answers[-1], body))
 
     def do_bye(self, cell: int, which: int, cause: int = 16) -> None:
         """A hub releases a call that stands there."""
         peer_hub = self._hub(cell)
-        if peer_hub.standing and peer_hub.conns:
-            refs = list(peer_hub.standing)
-            peer_hub.bye(refs[-1 - which % len(refs)], cause)
+        if peer_hub.established and peer_hub.conns:
+            refs = list(peer_hub.established)
+            peer_hub.send_bye(refs[-1 - which % len(refs)], cause)
 
     def do_stray(self, cell: int, call: int, cause: int = 16) -> None:
         """A hub releases a call, whether it has it or not, and answers a set-up that it never got."""
         peer_hub = self._hub(cell)
         if peer_hub.conns:
-            if call_ref(call) not in peer_hub.standing and not any(
-                call_ref(call) in other.standing for other in self.env.hubs.values()
+            if call_ref(call) not in peer_hub.established and not any(
+                call_ref(call) in other.established for other in self.env.hubs.values()
             ):
-                peer_hub.bye(call_ref(call), cause)
+                peer_hub.send_bye(call_ref(call), cause)
             conn = peer_hub.conns[0]
             conn.transport.write(
                 b"SIP/2.0 200 OK\r\nCall-ID: ffff0000ffff0000\r\nCSeq: 1 INVITE\r\n"
@@ -539,7 +539,7 @@
         self.checker.on_hub_failed(peer_hub.name, dead=False)
         if how == "die":
             self.env.network.hosts.pop(address, None)
-            peer_hub.standing.clear()
+            peer_hub.established.clear()
         elif how == "vanish":
             self.env.network.unreachable.add(address)
             for conn in peer_hub.conns:
@@ -549,7 +549,7 @@
                     self.checker.on_given_up(peer_hub, setup)
                     setup.open = False
             peer_hub.conns.clear()
-            peer_hub.standing.clear()
+            peer_hub.established.clear()
             return
         elif how == "deaf":
             peer_hub.ignores_options = True
@@ -924,7 +924,7 @@
             "module's set-ups out": [
                 call for x in router.facade._module.exchanges.values() for call in x.pending
             ],
-            "greenlets": [None] * (len(env.runtime.alive) - 40),
+            "greenlets": [None] * (len(env.runtime.live_greenlets) - 40),
             "deadlines": [None] * (len(router.deadlines._due) - 16),
         }
         for name, table in tables.items():
--- a/barleywheel/standins/hub.py
+++ b/barleywheel/standins/hub.py
@@ -155,7 +155,7 @@
         return self.transport.write("\r\n".join(lines).encode())
 
 
-def answer(message: Message, status: int, body: bytes = b"", *more: str) -> bytes:
+def encode_response(message: Message, status: int, body: bytes = b"", *more: str) -> bytes:
     """The bytes of an answer to a message of the router's."""
     echo = [
         f"{name}: {message.headers[name]}" for name in ("Via", "Call-ID", "CSeq") if name in message.headers
@@ -175,7 +175,7 @@
         self.name, self.cell, self.observer, self._schedule = name, cell, observer, schedule
         self.conns: list[HubConnection] = []
         self.setups: list[Setup] = []  # every one that came, the latest last
-        self.standing: dict[str, HubConnection] = {}
+        self.established: dict[str, HubConnection] = {}
         self.mode, self.delay_us = "stand", 0
         self.ignores_options = False  # passes no test
         self.free_circuits, self.group_size = 20, 20
@@ -199,19 +199,19 @@
                 if self.mode != "hold":
                     self._schedule(self.delay_us, lambda: self.answer_by_mode(setup))
             case "CANCEL":
-                conn.transport.write(answer(message, 200))
+                conn.transport.write(encode_response(message, 200))
                 cancelled = conn.setups.get(message.ref)
                 if cancelled is not None and cancelled.open:
                     cancelled.open, cancelled.cancelled = False, True
                     self.observer.on_given_up(self, cancelled)
             case "BYE":
-                conn.transport.write(answer(message, 200))
-                self.standing.pop(message.ref, None)
+                conn.transport.write(encode_response(message, 200))
+                self.established.pop(message.ref, None)
                 self.observer.on_released(self, message.ref)
             case "ACK":
                 self.observer.on_acknowledged(self, message.ref)
             case "OPTIONS" if not self.ignores_options:
-                conn.transport.write(answer(message, 200))
+                conn.transport.write(encode_response(message, 200))
 
     def answer_by_mode(self, setup: Setup) -> None:
         """Answer a set-up as the mode says, unless it was given up."""
@@ -228,16 +228,16 @@
         if status >= 200:
             setup.open = False
         if 200 <= status < 300:
-            self.standing[setup.ref] = setup.conn
+            self.established[setup.ref] = setup.conn
         more = [f"X-State: x0:{self.free_circuits};x1:{self.group_size};queue:1;qps:60"]
         if note:
             more.append(f"X-Note: {note}")
         body = hub_description(self.name, setup.ref) if 200 <= status < 300 else b""
-        setup.conn.transport.write(answer(setup.message, status, body, *more))
+        setup.conn.transport.write(encode_response(setup.message, status, body, *more))
 
-    def bye(self, ref: str, cause: int) -> bool:
+    def send_bye(self, ref: str, cause: int) -> bool:
         """Release a call: on the connection that carried its set-up, else on any open one."""
-        conn = self.standing.pop(ref, None)
+        conn = self.established.pop(ref, None)
         if conn is None or not conn.open:
             conn = self.conns[-1] if self.conns else None
         if conn is None:
--- a/barleywheel/virtual/runtime.py
+++ b/barleywheel/virtual/runtime.py
@@ -95,7 +95,7 @@
         self.hub = greenlet.getcurrent()
         self.uncaught_errors: list[BaseException] = []  # what greenlets ended by
         self.turns = 0
-        self.alive: dict[greenlet.greenlet, None] = {}
+        self.live_greenlets: dict[greenlet.greenlet, None] = {}
         self._timers: list[tuple[int, int, Callable[[], object]]] = []
         self._timer_number = 0
         self._random = random.Random(seed)
@@ -129,10 +129,10 @@
                 if on_error is not None:
                     on_error(error)
             finally:
-                self.alive.pop(new_greenlet, None)
+                self.live_greenlets.pop(new_greenlet, None)
 
         new_greenlet = greenlet.greenlet(body, self.hub)
-        self.alive[new_greenlet] = None
+        self.live_greenlets[new_greenlet] = None
         self.ready.append(new_greenlet)
 
     def event(self) -> VirtualEvent:
@@ -171,9 +171,9 @@
 
     def stop(self) -> None:
         """End every greenlet where it waits."""
-        while self.alive:
-            one = next(iter(self.alive))
-            self.alive.pop(one)
+        while self.live_greenlets:
+            one = next(iter(self.live_greenlets))
+            self.live_greenlets.pop(one)
             one.throw(greenlet.GreenletExit)
         self.ready.clear()
         self._timers.clear()
