--- a/barleywheel/virtual/runtime.py
+++ b/barleywheel/virtual/runtime.py
@@ -1,4 +1,4 @@
-"""A runtime on virtual time: greenlets in a fixed order, and a clock that moves when all of them wait."""
+"""A runtime on virtual time: greenlets run in a fixed order; the clock advances when all of them wait."""
 
 from __future__ import annotations
 
@@ -10,15 +10,16 @@
 
 import greenlet
 
-MAX_TURNS_PER_INSTANT = 20_000  # of greenlets within one instant: more of them is a loop that never waits
+# More greenlet switches than this without the clock advancing are taken for a loop that never waits.
+MAX_SWITCHES_PER_INSTANT = 20_000
 
 
 class BusyLoopError(Exception):
-    """Greenlets kept running and time stood still."""
+    """Greenlets kept running without virtual time advancing."""
 
 
 class VirtualEvent:
-    """A flag as ``core.runtime.Event``."""
+    """A flag on virtual time; see ``core.runtime.Event``."""
 
     __slots__ = ("_runtime", "_is_set", "_waiters")
 
@@ -27,11 +28,11 @@
         self._waiters: list[Waiter] = []
 
     def is_set(self) -> bool:
-        """Whether the flag is up."""
+        """Whether the flag is set."""
         return self._is_set
 
     def set(self) -> None:
-        """Put the flag up."""
+        """Set the flag and wake every waiting greenlet."""
         self._is_set = True
         if self._waiters:
             for waiter in self._waiters:
@@ -39,11 +40,11 @@
             self._waiters = []
 
     def clear(self) -> None:
-        """Take the flag down."""
+        """Clear the flag."""
         self._is_set = False
 
     def wait(self, timeout: float | None = None) -> bool:
-        """Block until the flag is up or the time is over; whether it was put up."""
+        """Block until the flag is set or the time-out expires; return whether it was set."""
         if self._is_set:
             return True
         waiter = Waiter(self._runtime)
@@ -55,7 +56,7 @@
 
 
 class Waiter:
-    """One greenlet that waits once, for a wake-up or for a time."""
+    """One wait of the current greenlet, ended by a wake-up or a time-out."""
 
     __slots__ = ("_runtime", "_greenlet", "_woken", "_done")
 
@@ -65,39 +66,40 @@
         self._woken = self._done = False
 
     def wake(self) -> None:
-        """Let it go on in the next turn; a second time does nothing."""
+        """Append the greenlet to the ready queue; does nothing once the wait is over."""
         if not self._done:
             self._woken = self._done = True
-            self._runtime.ready.append(self._greenlet)
+            self._runtime.ready_greenlets.append(self._greenlet)
 
     def _on_timeout(self) -> None:
         if not self._done:
             self._done = True
-            self._runtime.ready.append(self._greenlet)
+            self._runtime.ready_greenlets.append(self._greenlet)
 
     def wait(self, timeout: float | None) -> bool:
-        """Block; whether it was woken."""
+        """Block; return True if woken, False on time-out."""
         if timeout is not None:
             self._runtime.after(max(0, int(timeout * 1e6)), self._on_timeout)
         try:
-            self._runtime.hub.switch()
+            self._runtime.driver.switch()
         finally:
             self._done, self._greenlet = True, None
         return self._woken
 
 
 class VirtualRuntime:
-    """See ``core.runtime.Runtime``. The greenlet that made it drives it by ``run``."""
+    """Implements ``core.runtime.Runtime``. The greenlet that creates it advances time by calling ``run``."""
 
     def __init__(self, start_us: int, seed: int) -> None:
-        self.time_us, self.skew_us = start_us, 0  # skew: what the Unix clock was set by since the start
-        self.ready: deque[Any] = deque()
-        self.hub = greenlet.getcurrent()
-        self.uncaught_errors: list[BaseException] = []  # what greenlets ended by
-        self.turns = 0
+        # skew_us is the offset of the Unix clock from the virtual clock; changing it sets the Unix clock.
+        self.time_us, self.skew_us = start_us, 0
+        self.ready_greenlets: deque[Any] = deque()
+        self.driver = greenlet.getcurrent()
+        self.uncaught_errors: list[BaseException] = []  # exceptions that ended a greenlet
+        self.switch_count = 0
         self.live_greenlets: dict[greenlet.greenlet, None] = {}
         self._timers: list[tuple[int, int, Callable[[], object]]] = []
-        self._timer_number = 0
+        self._timer_sequence = 0  # orders timers that expire at the same time by creation
         self._random = random.Random(seed)
 
     def now_us(self) -> int:
@@ -113,8 +115,8 @@
         if seconds > 0:
             Waiter(self).wait(seconds)
         else:
-            self.ready.append(greenlet.getcurrent())
-            self.hub.switch()
+            self.ready_greenlets.append(greenlet.getcurrent())
+            self.driver.switch()
 
     def spawn(
         self, target: Callable[..., Any], *args: Any, on_error: Callable[[object], None] | None = None
@@ -131,9 +133,9 @@
             finally:
                 self.live_greenlets.pop(new_greenlet, None)
 
-        new_greenlet = greenlet.greenlet(body, self.hub)
+        new_greenlet = greenlet.greenlet(body, self.driver)
         self.live_greenlets[new_greenlet] = None
-        self.ready.append(new_greenlet)
+        self.ready_greenlets.append(new_greenlet)
 
     def event(self) -> VirtualEvent:
         """See ``Runtime``."""
@@ -143,37 +145,37 @@
         """See ``Runtime``."""
         return f"{self._random.getrandbits(64):016x}"
 
-    # For the driver.
+    # Used by the driving greenlet and the models.
 
     def after(self, us: int, action: Callable[[], object]) -> None:
-        """Run an action, which must not block, so many microseconds from now."""
-        self._timer_number += 1
-        heapq.heappush(self._timers, (self.time_us + us, self._timer_number, action))
+        """Run ``action``, which must not block, ``us`` microseconds from now."""
+        self._timer_sequence += 1
+        heapq.heappush(self._timers, (self.time_us + us, self._timer_sequence, action))
 
     def run_ready(self) -> None:
-        """Let every greenlet run until all of them wait; time stands still."""
-        ready, limit = self.ready, self.turns + MAX_TURNS_PER_INSTANT
+        """Run greenlets until all of them wait, without advancing time."""
+        ready, limit = self.ready_greenlets, self.switch_count + MAX_SWITCHES_PER_INSTANT
         while ready:
             ready.popleft().switch()
-            self.turns += 1
-            if self.turns > limit:
-                raise BusyLoopError(f"{MAX_TURNS_PER_INSTANT} turns within one instant")
+            self.switch_count += 1
+            if self.switch_count > limit:
+                raise BusyLoopError(f"{MAX_SWITCHES_PER_INSTANT} greenlet switches without time advancing")
 
     def run(self, us: int) -> None:
-        """Let so much time pass."""
-        until, timers = self.time_us + us, self._timers
+        """Advance time by ``us`` microseconds, running timers and greenlets as they come due."""
+        end_us, timers = self.time_us + us, self._timers
         self.run_ready()
-        while timers and timers[0][0] <= until:
+        while timers and timers[0][0] <= end_us:
             self.time_us = max(self.time_us, timers[0][0])
             heapq.heappop(timers)[2]()
             self.run_ready()
-        self.time_us = until
+        self.time_us = end_us
 
     def stop(self) -> None:
-        """End every greenlet where it waits."""
+        """Kill every greenlet at the point where it waits."""
         while self.live_greenlets:
-            one = next(iter(self.live_greenlets))
-            self.live_greenlets.pop(one)
-            one.throw(greenlet.GreenletExit)
-        self.ready.clear()
+            live = next(iter(self.live_greenlets))
+            self.live_greenlets.pop(live)
+            live.throw(greenlet.GreenletExit)
+        self.ready_greenlets.clear()
         self._timers.clear()
