--- a/barleywheel/virtual/network.py
+++ b/barleywheel/virtual/network.py
@@ -1,7 +1,7 @@
-"""A network in memory: streams and datagrams between the parts and the models of ``barleywheel.standins``.
+"""An in-memory network: streams and datagrams between the router and the models of ``barleywheel.standins``.
 
-Bytes arrive at once; whatever delay a world wants, its models make. A model sees what the parts write in the
-very instant in which they write it, so the order of what crosses a socket is exact.
+Bytes arrive without delay; a model that needs latency schedules it itself. A model receives the router's
+bytes inside the call that writes them, so the order of events across all sockets is exact.
 """
 
 from __future__ import annotations
@@ -15,32 +15,36 @@
 from barleywheel.standins import ProtocolError
 from barleywheel.virtual.runtime import VirtualRuntime, Waiter
 
-WINDOW_BYTES = 64 * 1024  # what a stream takes from a writer whose peer does not read
+SEND_WINDOW_BYTES = 64 * 1024  # what the router can write while the peer does not read
 
 
 class StreamHandler(Protocol):
-    """A model's side of one stream: told what comes; it writes and closes by its ``PeerSocket``."""
+    """The model behind one stream: receives its events; writes and closes through its ``PeerSocket``."""
 
     def data_received(self, data: bytes) -> None:
-        """Bytes came."""
+        """Handle bytes from the router."""
 
     def connection_lost(self, reset: bool) -> None:
-        """The other side ended the stream."""
+        """Handle the end of the stream by the router."""
 
 
 class PeerSocket:
-    """How a model holds a stream: write, close, and stop reading for a while."""
+    """A model's end of a stream, with which it writes, closes and pauses reading.
+
+    While ``silent`` is set the peer has vanished from the network: nothing passes in either direction, and
+    neither end sees the other close.
+    """
 
     def __init__(self, network: VirtualNetwork, address: Address) -> None:
-        self._network, self.address = network, address  # the address is that of the model's end
+        self._network, self.address = network, address  # the address of the model's end
         self.handler: StreamHandler | None = None
         self.open = True
         self.stream = Stream(network.runtime, self)
         self.reading, self.silent = True, False
-        self._unread = 0
+        self._unread_bytes = 0  # written by the router while reading is paused
 
     def write(self, data: bytes) -> bool:
-        """Send to the parts; False where the stream has ended."""
+        """Send to the router; return False if the stream has ended."""
         if not self.open:
             return False
         if not self.silent:
@@ -48,39 +52,39 @@
         return True
 
     def close(self, reset: bool = False) -> None:
-        """End the stream."""
+        """Close the stream, or reset it."""
         if self.open:
             self.open = False
             if not self.silent:
                 self.stream.close_from_peer(reset)
 
     def set_reading(self, reading: bool) -> None:
-        """Stop reading, or go on."""
+        """Pause or resume reading; a paused reader fills the router's send window."""
         self.reading = reading
         if reading:
-            self._unread = 0
+            self._unread_bytes = 0
             self.stream.wake_writers()
 
-    # From the stream.
+    # Called by the stream.
 
     def free_window(self) -> int:
-        """How much the parts may write now."""
-        return WINDOW_BYTES - self._unread
+        """The number of bytes that the router may write now."""
+        return SEND_WINDOW_BYTES - self._unread_bytes
 
     def on_data(self, data: bytes) -> None:
-        """The parts wrote this."""
+        """Pass bytes written by the router to the handler."""
         if self.silent:
             return
         if not self.reading:
-            self._unread += len(data)  # it has left the parts: whoever watches is told
+            self._unread_bytes += len(data)  # the router has sent them, so the handler is still notified
         if self.open and self.handler is not None:
             try:
                 self.handler.data_received(data)
-            except ProtocolError as error:  # the model's complaint, not the writer's fault to handle
+            except ProtocolError as error:  # recorded here; it must not surface in the router's write call
                 self._network.protocol_errors.append(str(error))
 
     def on_close(self, reset: bool) -> None:
-        """The parts closed."""
+        """Pass the router's close to the handler."""
         if self.open and not self.silent:
             self.open = False
             if self.handler is not None:
@@ -88,7 +92,7 @@
 
 
 class Stream:
-    """The parts' end of a stream, as ``net.sockets.Socket``."""
+    """The router's end of a stream; implements ``net.sockets.Socket``."""
 
     def __init__(self, runtime: VirtualRuntime, peer_socket: PeerSocket) -> None:
         self.runtime, self.peer_socket = runtime, peer_socket
@@ -98,16 +102,16 @@
         self._reader: Waiter | None = None
         self._writers: list[Waiter] = []
 
-    # The model's side.
+    # Called from the model's end.
 
     def deliver(self, data: bytes) -> None:
-        """Bytes for the parts."""
+        """Queue bytes for the router to read."""
         if data and not self._closed:
             self._incoming.append(data)
             self._wake()
 
     def close_from_peer(self, reset: bool) -> None:
-        """The model ended the stream; a reset takes what was not read with it."""
+        """End the stream from the model's end; a reset also discards bytes not yet read."""
         self._eof, self._reset = True, reset
         if reset:
             self._incoming.clear()
@@ -115,7 +119,7 @@
         self.wake_writers()
 
     def wake_writers(self) -> None:
-        """There is room again."""
+        """Resume writers blocked on a full send window."""
         for writer in self._writers:
             writer.wake()
         self._writers = []
@@ -125,7 +129,7 @@
             self._reader.wake()
             self._reader = None
 
-    # The parts' side.
+    # Called by the router.
 
     def settimeout(self, seconds: float | None) -> None:
         """See ``Socket``."""
@@ -136,7 +140,7 @@
         while not self._incoming:
             self._check_open()
             if self._reset:
-                raise ConnectionResetError(errno.ECONNRESET, "reset")
+                raise ConnectionResetError(errno.ECONNRESET, "connection reset")
             if self._eof:
                 return 0
             self._reader = waiter = Waiter(self.runtime)
@@ -156,13 +160,13 @@
         while True:
             self._check_open()
             if self._eof:
-                raise BrokenPipeError(errno.EPIPE, "gone")
+                raise BrokenPipeError(errno.EPIPE, "broken pipe")
             free_window = self.peer_socket.free_window()
             if free_window > 0:
                 self.peer_socket.on_data(bytes(data[:free_window]))
                 return min(free_window, len(data))
             if timeout == 0.0:
-                raise BlockingIOError(errno.EAGAIN, "no room")
+                raise BlockingIOError(errno.EAGAIN, "send window full")
             waiter = Waiter(self.runtime)
             self._writers.append(waiter)
             if not waiter.wait(self._timeout):
@@ -177,29 +181,29 @@
         """See ``Socket``."""
         if not self._closed:
             self._closed = True
-            unread = bool(self._incoming)
+            has_unread = bool(self._incoming)  # closing with unread bytes resets, as TCP does
             self._incoming.clear()
             self._wake()
             self.wake_writers()
-            self.peer_socket.on_close(unread)
+            self.peer_socket.on_close(has_unread)
 
     def _check_open(self) -> None:
         if self._closed:
-            raise OSError(errno.EBADF, "closed")
+            raise OSError(errno.EBADF, "socket closed")
 
 
 class VirtualListener:
-    """See ``net.sockets.Listener``."""
+    """A listening socket; implements ``net.sockets.Listener``."""
 
     def __init__(self, network: VirtualNetwork, address: Address, backlog: int) -> None:
         self._network, self.address, self.backlog = network, address, backlog
         self._incoming: deque[PeerSocket] = deque()
         self._reader: Waiter | None = None
         self._closed = False
-        self.accept_failures = 0  # so many accepts fail for want of descriptors
+        self.accept_failures = 0  # number of coming accepts that fail with EMFILE
 
     def add_pending(self, peer_socket: PeerSocket) -> bool:
-        """Somebody connects; False where nobody listens or the backlog is full."""
+        """Queue a connection to accept; return False if the listener is closed or its backlog full."""
         if self._closed or len(self._incoming) >= self.backlog:
             return False
         self._incoming.append(peer_socket)
@@ -214,7 +218,7 @@
             self._reader.wait(None)
             self._reader = None
         if self._closed:
-            raise OSError(errno.EBADF, "closed")
+            raise OSError(errno.EBADF, "socket closed")
         if self.accept_failures:
             self.accept_failures -= 1
             raise OSError(errno.EMFILE, "too many open files")
@@ -232,7 +236,7 @@
 
 
 class VirtualDatagrams:
-    """See ``net.sockets.DatagramSocket``. What the parts send is handed to ``on_datagram``."""
+    """A UDP socket; implements ``net.sockets.DatagramSocket``. Datagrams sent go to ``on_datagram``."""
 
     def __init__(self, network: VirtualNetwork) -> None:
         self._network = network
@@ -241,23 +245,23 @@
         self.on_datagram: Callable[[bytes, Address], None] | None = None
 
     def deliver(self, data: bytes, address: Address) -> None:
-        """A datagram for the parts."""
+        """Queue a datagram for the router to receive."""
         self._incoming.append((data, address))
         if self._reader is not None:
             self._reader.wake()
 
-    def recvfrom(self, most: int) -> tuple[bytes, Address]:
+    def recvfrom(self, max_bytes: int) -> tuple[bytes, Address]:
         """See ``DatagramSocket``."""
         while not self._incoming:
             self._reader = Waiter(self._network.runtime)
             self._reader.wait(None)
             self._reader = None
         data, address = self._incoming.popleft()
-        return data[:most], address
+        return data[:max_bytes], address
 
     def sendto(self, data: bytes, address: Address) -> int:
         """See ``DatagramSocket``."""
-        if len(data) > 65507:
+        if len(data) > 65507:  # the largest UDP payload over IPv4
             raise OSError(errno.EMSGSIZE, "message too long")
         if self.on_datagram is not None:
             self.on_datagram(data, address)
@@ -265,10 +269,10 @@
 
 
 class VirtualNetwork:
-    """Addresses and who is behind them. ``hosts`` has an entry for each address that the parts may reach.
+    """Implements ``net.sockets.Network``. ``hosts`` maps each address that accepts connections to its model.
 
-    A host takes a ``PeerSocket`` and returns its ``StreamHandler``; None for "refused". An address in
-    ``unreachable`` answers nothing, and one that is nowhere refuses.
+    A host takes a ``PeerSocket`` and returns its ``StreamHandler``, or None to refuse the connection.
+    Connecting to an address in ``unreachable`` times out; any other unknown address refuses.
     """
 
     def __init__(self, runtime: VirtualRuntime) -> None:
@@ -277,7 +281,7 @@
         self.unreachable: set[Address] = set()
         self.listeners: dict[Address, VirtualListener] = {}
         self.datagram_sockets: dict[Address, VirtualDatagrams] = {}
-        self.protocol_errors: list[str] = []  # what models could not read
+        self.protocol_errors: list[str] = []  # messages of ProtocolErrors raised by models
 
     def connect(self, address: Address, timeout_s: float) -> Stream:
         """See ``Network``."""
@@ -289,14 +293,14 @@
         peer_socket = PeerSocket(self, address)
         handler = host(peer_socket) if host is not None and address not in self.unreachable else None
         if handler is None:
-            raise ConnectionRefusedError(errno.ECONNREFUSED, "refused")
+            raise ConnectionRefusedError(errno.ECONNREFUSED, "connection refused")
         peer_socket.handler = handler
         return peer_socket.stream
 
     def listen(self, address: Address, backlog: int) -> VirtualListener:
         """See ``Network``."""
         if address in self.listeners:
-            raise OSError(errno.EADDRINUSE, "in use")
+            raise OSError(errno.EADDRINUSE, "address in use")
         listener = self.listeners[address] = VirtualListener(self, address, backlog)
         return listener
 
@@ -315,7 +319,7 @@
         own_address: Address,
         make_handler: Callable[[PeerSocket], StreamHandler],
     ) -> StreamHandler | None:
-        """A model connects to the parts; None where nobody listens."""
+        """Connect a model to the router; None if nothing listens there or the backlog is full."""
         listener = self.listeners.get(listen_address)
         if listener is None:
             return None
