--- a/barleywheel/virtual/__init__.py
+++ b/barleywheel/virtual/__init__.py
@@ -1,1 +1,1 @@
-"""Time and sockets of a world in memory: what serves runs here unchanged, one greenlet at a time, by seed."""
+"""Virtual time and in-memory sockets: the unmodified router runs on them, reproducibly for a given seed."""
--- a/barleywheel/virtual/environment.py
+++ b/barleywheel/virtual/environment.py
@@ -1,4 +1,4 @@
-"""One router among its stand-ins, in memory and on virtual time."""
+"""One router and its stand-ins, in memory and on virtual time."""
 
 from __future__ import annotations
 
@@ -19,15 +19,19 @@
 from barleywheel.virtual.runtime import VirtualRuntime
 from barleywheel.wire import journal as journal_wire
 
+# Unix time at which every run starts.
 START_US = 1_700_000_000_000_000
 CALLER_LISTEN_ADDRESS: Address = ("10.0.0.4", 3868)
 M3UA_LISTEN_ADDRESS: Address = ("10.0.0.4", 2905)
 SNMP_LISTEN_ADDRESS: Address = ("10.0.0.4", 1161)
 JOURNAL_ADDRESSES: tuple[Address, Address] = (("10.2.0.1", 2379), ("10.2.0.2", 2379))
-HOME_CELL, HUB_CELLS, EXCHANGE_CELL = 0, (1, 2, 3), 4
+HOME_CELL = 0
+HUB_CELLS = (1, 2, 3)
+EXCHANGE_CELL = 4
 AIM_US_BY_CLASS = {"voice": 1_200_000, "gold": 800_000}
 DEADLINE_US_BY_CLASS = {"voice": 9_000_000, "gold": 6_000_000}
-MAX_ATTEMPTS, GUARD_US = 4, 300_000
+MAX_ATTEMPTS = 4  # per call
+GUARD_US = 300_000  # before a call is tried again after a broken attempt
 SETTINGS: dict[str, Any] = {
     "balancers": 3,
     "classes": [
@@ -68,12 +72,12 @@
 
 
 def hub_address(name: str) -> Address:
-    """Where a hub listens: by its cell, so that a replacement has its predecessor's address."""
+    """A hub's listen address; it depends on the cell alone, so a replacement has its predecessor's."""
     return (f"10.1.0.{name[1]}", 5060)
 
 
 def hub_endpoint(name: str, status: str = "Ready", since_ms: int = 0) -> dict[str, Any]:
-    """A hub as the journal tells it; its name is ``h``, its cell and what tells it from others there."""
+    """A hub's entry in a journal event. Its name is ``h``, its one-digit cell and a suffix unique there."""
     host, port = hub_address(name)
     return {
         "name": name,
@@ -89,7 +93,7 @@
 
 @cache
 def base_config() -> config.Config:
-    """The configuration without its events, parsed once."""
+    """The configuration without journal events, parsed once."""
     raw = {
         "name": "n0",
         "seed": "1",
@@ -103,12 +107,12 @@
 
 @cache
 def default_operator_config() -> config.OperatorConfig:
-    """The operator's file."""
+    """The operator's configuration file, parsed once."""
     return config.parse_operator_config(OPERATOR_TOML.encode(), "world")
 
 
-def make_config(journal_address: Address, known: dict[str, Any], seed: int) -> config.Config:
-    """The configuration as one start or reload reads it."""
+def make_config(journal_address: Address, journal_events: dict[str, Any], seed: int) -> config.Config:
+    """The configuration that a start or reload reads: the journal's address and its events so far."""
     conf = base_config()
     return config.Config(
         conf.name,
@@ -117,14 +121,14 @@
         seed,
         conf.sockets,
         conf.connect_timeout_us,
-        journal_wire.parse_events(known),
+        journal_wire.parse_events(journal_events),
         conf.settings,
         conf.names,
     )
 
 
 class LogRecorder(logging.Handler):
-    """What the router logs, by its templates; and whatever is at ERROR or above, in full."""
+    """Counts the router's log records by message template, and keeps those at ERROR or above in full."""
 
     def __init__(self) -> None:
         super().__init__(logging.INFO)
@@ -132,7 +136,7 @@
         self.errors: list[str] = []
 
     def handle(self, record: logging.LogRecord) -> bool:
-        """Every record is formatted, since a line that can't be is a fault of its own."""
+        """Format every record, so that a log call whose arguments do not fit its template raises."""
         message = record.getMessage()
         template = str(record.msg)
         self.templates[template] = self.templates.get(template, 0) + 1
@@ -143,9 +147,10 @@
 
 
 class VirtualEnvironment:
-    """The router and everything round it. ``entered`` gives it time and sockets; ``run`` lets time pass.
+    """The router with every peer it talks to. Entering it starts the router; ``run`` advances time.
 
-    ``observer`` hears of hubs, ``on_message`` of callers' lines, ``on_isup`` of the exchange's messages.
+    ``observer`` receives the events at the hubs, ``on_message`` the router's messages to callers,
+    ``on_close`` its closes of their connections and ``on_isup`` its ISUP messages to the exchange.
     """
 
     def __init__(
@@ -166,28 +171,28 @@
         self.callers: dict[int, caller.Caller] = {}
         self.connections_made = 0
         self.exchange = exchange.Exchange(on_isup)
-        self.journal_index = 0
-        self._stack = ExitStack()
+        self.journal_index = 0  # into JOURNAL_ADDRESSES; negative while the configuration is invalid
+        self._exit_stack = ExitStack()
         self.router: Router
         self.terminated = False
         self.operator_config = default_operator_config()
 
     def __enter__(self) -> VirtualEnvironment:
-        self._stack.enter_context(core_runtime.use_runtime(self.runtime))
-        self._stack.enter_context(sockets.use_network(self.network))
+        self._exit_stack.enter_context(core_runtime.use_runtime(self.runtime))
+        self._exit_stack.enter_context(sockets.use_network(self.network))
         logger = logging.getLogger("barleywheel")
-        before = logger.level, logger.propagate
+        previous = logger.level, logger.propagate
         logger.setLevel(logging.INFO)
         logger.propagate = False
         logger.addHandler(self.log_recorder)
 
         def restore() -> None:
             logger.removeHandler(self.log_recorder)
-            logger.setLevel(before[0])
-            logger.propagate = before[1]
+            logger.setLevel(previous[0])
+            logger.propagate = previous[1]
 
-        self._stack.callback(restore)
-        self._stack.callback(self.runtime.stop)
+        self._exit_stack.callback(restore)
+        self._exit_stack.callback(self.runtime.stop)
         for cell in (HOME_CELL, *HUB_CELLS, EXCHANGE_CELL):
             self.add_hub(f"h{cell}")
         self.journal.publish([hub_endpoint(name) for name in self.hubs], snapshot=True)
@@ -199,34 +204,34 @@
         return self
 
     def __exit__(self, *_: object) -> None:
-        self._stack.close()
+        self._exit_stack.close()
 
     @property
     def now_us(self) -> int:
-        """Virtual time."""
+        """The current virtual time."""
         return self.runtime.time_us
 
     def run(self, us: int) -> None:
-        """Let time pass."""
+        """Advance virtual time by ``us`` microseconds."""
         self.runtime.run(us)
 
     def load_config(self) -> config.Config:
-        """What a reload reads."""
+        """The configuration for a reload; ConfigError while ``journal_index`` is negative."""
         if self.journal_index < 0:
             raise config.ConfigError("world: no JSON")
         return make_config(JOURNAL_ADDRESSES[self.journal_index], self.journal.entries_after(0), self.seed)
 
     def add_hub(self, name: str) -> hub.Hub:
-        """A hub that listens at its cell's address."""
+        """Add a hub that listens at its cell's address, in place of any hub there."""
         model = self.hubs[name] = hub.Hub(name, int(name[1]), self.observer, self.runtime.after)
         self.network.hosts[hub_address(name)] = model.accept_connection
         return model
 
     def caller_connection(self, number: int) -> caller.Caller | None:
-        """An open connection from callers, dialled where there is none; None where nobody listens."""
-        found = self.callers.get(number)
-        if found is not None and found.open:
-            return found
+        """Caller connection ``number``, opened if it is not; None if the router does not accept it."""
+        existing = self.callers.get(number)
+        if existing is not None and existing.open:
+            return existing
         self.connections_made += 1
 
         def make_handler(peer_socket: PeerSocket) -> StreamHandler:
@@ -235,13 +240,13 @@
             )
             return model
 
-        connected = self.network.connect_to_router(
+        accepted = self.network.connect_to_router(
             CALLER_LISTEN_ADDRESS, (f"10.3.0.{number + 1}", 40000 + self.connections_made), make_handler
         )
-        return self.callers[number] if connected is not None else None
+        return self.callers[number] if accepted is not None else None
 
     def connect_link(self) -> bool:
-        """The exchange's link, dialled where there is none."""
+        """Connect the exchange's link if it is down; return whether it is connected."""
         return (
             self.exchange.transport is not None
             or self.network.connect_to_router(M3UA_LISTEN_ADDRESS, ("10.4.0.1", 50000), self.exchange.attach)
@@ -249,13 +254,13 @@
         )
 
     def move_journal(self) -> None:
-        """The journal moves to its other address; the numbers go on."""
+        """Move the journal service to its other address; event numbers continue."""
         self.network.hosts.pop(JOURNAL_ADDRESSES[max(0, self.journal_index)], None)
         self.journal_index = 1 - max(0, self.journal_index)
         self.network.hosts[JOURNAL_ADDRESSES[self.journal_index]] = self.journal.accept_connection
 
     def terminate(self) -> None:
-        """SIGTERM."""
+        """Shut the router down, as SIGTERM does."""
 
         def terminate_router() -> None:
             self.router.shut_down()
