--- a/barleywheel/standins/__init__.py
+++ b/barleywheel/standins/__init__.py
@@ -1,8 +1,9 @@
-"""What the router serves and is served by, as plain models: callers, build hubs, the journal, M3UA exchanges.
+"""Models of the router's peers: callers, build hubs, the journal service and an M3UA exchange.
 
-Each is a state machine free of I/O and clock, with a strict codec of its own that shares nothing with
-``barleywheel.wire``. A model is told bytes and writes bytes on a ``Transport``; what it hears is told to a
-``HubObserver``. Whoever drives it (``barleywheel.virtual.environment`` in memory) owns sockets and time.
+Each is a state machine without I/O or a clock, with a strict codec of its own that shares no code with
+``barleywheel.wire``. A model receives bytes and writes bytes to a ``Transport``; it reports what it received
+to a callback, a hub to its ``HubObserver``. Sockets and time belong to the code that drives the models
+(``barleywheel.virtual.environment`` in memory).
 """
 
 from __future__ import annotations
@@ -15,14 +16,15 @@
     """A model's end of a stream."""
 
     def write(self, data: bytes) -> bool:
-        """Send; False where the stream has ended."""
+        """Send; return False if the stream has ended."""
 
     def close(self, reset: bool = False) -> None:
-        """End the stream."""
+        """Close the stream, or reset it."""
 
 
-Scheduler = Callable[[int, Callable[[], object]], None]  # run this so many microseconds from now
+# Arguments: delay in microseconds, action.
+Scheduler = Callable[[int, Callable[[], object]], None]
 
 
 class ProtocolError(Exception):
-    """The router wrote what its peers could not read, or what no peer expects."""
+    """The router sent a malformed message, or one that the peer does not expect."""
