--- a/barleywheel/standins/hub.py
+++ b/barleywheel/standins/hub.py
@@ -1,4 +1,4 @@
-"""Build hubs on SIP over TCP, as PROTOCOL words them (RFC 3261 for the grammar)."""
+"""Build hubs that speak SIP over TCP, as the platform's PROTOCOL specifies (grammar from RFC 3261)."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 
 from barleywheel.standins import ProtocolError, Scheduler, Transport
 
-REQUEST_LINE = re.compile(r"(INVITE|ACK|CANCEL|BYE|OPTIONS) sip:([0-9a-z]*)@net SIP/2\.0\Z")
-STATUS_LINE = re.compile(r"SIP/2\.0 (\d{3}) ")
+REQUEST_LINE_PATTERN = re.compile(r"(INVITE|ACK|CANCEL|BYE|OPTIONS) sip:([0-9a-z]*)@net SIP/2\.0\Z")
+STATUS_LINE_PATTERN = re.compile(r"SIP/2\.0 (\d{3}) ")
 NUMBER_PATTERN = re.compile(r"[0-9a-f]{1,16}\Z")
 REASON_PATTERN = re.compile(r"Q\.850;cause=(\d{1,3})\Z")
 MAX_MESSAGE_BYTES = 16 * 1024
@@ -17,7 +17,7 @@
 
 @dataclass(eq=False)
 class Message:
-    """A message of the router's."""
+    """A message from the router; ``method`` is the status code if it is a response."""
 
     method: str
     number: str
@@ -26,83 +26,83 @@
 
     @property
     def ref(self) -> str:
-        """The call's id."""
+        """The call id, from Call-ID."""
         return self.headers["Call-ID"]
 
     @property
     def cseq(self) -> str:
-        """The number in CSeq."""
+        """The sequence number, from CSeq."""
         return self.headers["CSeq"].split()[0]
 
 
 def parse_head(head: str) -> Message:
-    """A head, strictly; ProtocolError where RFC 3261 or PROTOCOL would not have it."""
-    first, *rest = head.split("\r\n")
+    """Parse a start line and headers; ProtocolError if RFC 3261 or PROTOCOL does not allow them."""
+    start_line, *header_lines = head.split("\r\n")
     headers: dict[str, str] = {}
-    for line in rest:
+    for line in header_lines:
         name, colon, value = line.partition(": ")
         if not colon or name in headers or not value.isprintable():
-            raise ProtocolError(f"hub: header {line!r}")
+            raise ProtocolError(f"hub: malformed or repeated header {line!r}")
         headers[name] = value
-    if match := STATUS_LINE.match(first):
+    if match := STATUS_LINE_PATTERN.match(start_line):
         return Message(match[1], "", headers, b"")
-    match = REQUEST_LINE.match(first)
+    match = REQUEST_LINE_PATTERN.match(start_line)
     if not match or not {"Call-ID", "CSeq", "Content-Length"} <= set(headers):
-        raise ProtocolError(f"hub: {first!r} with {sorted(headers)}")
+        raise ProtocolError(f"hub: start line {start_line!r} with headers {sorted(headers)}")
     method, number = match[1], match[2]
     if headers["CSeq"].split()[1:] != [method] or not headers["CSeq"].split()[0].isdigit():
         raise ProtocolError(f"hub: CSeq {headers['CSeq']!r} on {method}")
     if method == "INVITE" and not (
         NUMBER_PATTERN.match(number) and headers.get("X-Patience", "").isdigit() and headers.get("Subject")
     ):
-        raise ProtocolError(f"hub: set-up {first!r} with {headers}")
+        raise ProtocolError(f"hub: set-up {start_line!r} with {headers}")
     if method == "BYE":
         reason = REASON_PATTERN.match(headers.get("Reason", ""))
         if not reason or not 0 < int(reason[1]) < 128:
-            raise ProtocolError(f"hub: release with {headers.get('Reason')!r}")
+            raise ProtocolError(f"hub: release with reason {headers.get('Reason')!r}")
     return Message(method, number, headers, b"")
 
 
 class HubObserver(Protocol):
-    """Who is told what happens at a hub."""
+    """Receives the events at the hubs."""
 
     def on_setup(self, hub: Hub, setup: Setup) -> None:
-        """An INVITE came whole."""
+        """A complete INVITE was received."""
 
     def on_given_up(self, hub: Hub, setup: Setup) -> None:
-        """It was cancelled, or its connection was closed by the router."""
+        """The router cancelled an unanswered set-up, or its connection ended."""
 
     def on_acknowledged(self, hub: Hub, ref: str) -> None:
-        """An ACK came."""
+        """An ACK was received."""
 
     def on_released(self, hub: Hub, ref: str) -> None:
-        """A BYE came."""
+        """A BYE was received."""
 
     def on_answering(self, hub: Hub, setup: Setup, status: int) -> None:
-        """The hub is about to answer."""
+        """Called before the hub sends a response to a set-up; ``setup`` is still in its previous state."""
 
     def on_releasing(self, hub: Hub, ref: str) -> None:
-        """The hub is about to send a BYE."""
+        """Called before the hub sends a BYE."""
 
 
 @dataclass(eq=False)
 class Setup:
-    """One INVITE."""
+    """A received INVITE. ``open`` until it has a final response or is given up."""
 
     conn: HubConnection
     message: Message
     open: bool = True
     cancelled: bool = False
-    answers: list[int] = field(default_factory=list)
+    answers: list[int] = field(default_factory=list)  # status codes sent
 
     @property
     def ref(self) -> str:
-        """The call's id."""
+        """The call id."""
         return self.message.ref
 
 
 class HubConnection:
-    """One connection of the router's to a hub."""
+    """A connection from the router to a hub."""
 
     def __init__(self, hub: Hub, transport: Transport) -> None:
         self.hub, self.transport, self.open = hub, transport, True
@@ -110,7 +110,7 @@
         self._buffer = bytearray()
 
     def data_received(self, data: bytes) -> None:
-        """See ``virtual.network.StreamHandler``; ProtocolError where the router's bytes are no SIP."""
+        """See ``virtual.network.StreamHandler``; ProtocolError if the bytes are not valid SIP."""
         self._buffer += data
         while (end := self._buffer.find(b"\r\n\r\n")) >= 0:
             message = parse_head(self._buffer[:end].decode("ascii"))
@@ -126,7 +126,7 @@
             raise ProtocolError("hub: message over 16 KiB")
 
     def connection_lost(self, reset: bool) -> None:
-        """See ``virtual.network.StreamHandler``: what is open on the connection is given up."""
+        """See ``virtual.network.StreamHandler``; open set-ups on the connection count as given up."""
         self.open = False
         self.hub.conns.remove(self)
         for setup in self.setups.values():
@@ -135,19 +135,19 @@
                 self.hub.observer.on_given_up(self.hub, setup)
 
     def close(self, reset: bool = False) -> None:
-        """The hub ends it."""
+        """Close the connection from the hub's side."""
         if self.open:
             self.transport.close(reset)
             self.connection_lost(reset)
 
-    def send_request(self, first: str, ref: str, *more: str) -> bool:
-        """A request of the hub's own."""
+    def send_request(self, method_and_uri: str, ref: str, *headers: str) -> bool:
+        """Send a request from the hub, without a body."""
         lines = [
-            f"{first} SIP/2.0",
+            f"{method_and_uri} SIP/2.0",
             "Via: SIP/2.0/TCP hub",
             f"Call-ID: {ref}",
-            f"CSeq: 7 {first.split()[0]}",
-            *more,
+            f"CSeq: 7 {method_and_uri.split()[0]}",
+            *headers,
             "Content-Length: 0",
             "",
             "",
@@ -155,33 +155,34 @@
         return self.transport.write("\r\n".join(lines).encode())
 
 
-def encode_response(message: Message, status: int, body: bytes = b"", *more: str) -> bytes:
-    """The bytes of an answer to a message of the router's."""
-    echo = [
+def encode_response(message: Message, status: int, body: bytes = b"", *headers: str) -> bytes:
+    """A response to a request from the router; ``headers`` follow those that it echoes."""
+    echoed = [
         f"{name}: {message.headers[name]}" for name in ("Via", "Call-ID", "CSeq") if name in message.headers
     ]
-    lines = [f"SIP/2.0 {status} X", *echo, *more, f"Content-Length: {len(body)}", "", ""]
+    lines = [f"SIP/2.0 {status} X", *echoed, *headers, f"Content-Length: {len(body)}", "", ""]
     return "\r\n".join(lines).encode() + body
 
 
 class Hub:
-    """One hub: its connections, the set-ups that it has not answered, and the calls that stand at it.
+    """A hub: its connections, the set-ups that it received and the calls established at it.
 
-    ``mode`` says what becomes of a set-up: ``stand``, ``hold`` (until a script answers), or a status such as
-    ``503 throttled``; ``delay_us`` is how long that takes.
+    ``mode`` is the reaction to a set-up: ``stand`` answers with 200, ``hold`` waits until a script answers,
+    and a status with an optional X-Note, such as ``503 throttled``, is sent as it is.
+    ``delay_us`` is the delay of the response.
     """
 
     def __init__(self, name: str, cell: int, observer: HubObserver, schedule: Scheduler) -> None:
         self.name, self.cell, self.observer, self._schedule = name, cell, observer, schedule
         self.conns: list[HubConnection] = []
-        self.setups: list[Setup] = []  # every one that came, the latest last
-        self.established: dict[str, HubConnection] = {}
+        self.setups: list[Setup] = []  # all that were received, in order
+        self.established: dict[str, HubConnection] = {}  # by call id
         self.mode, self.delay_us = "stand", 0
-        self.ignores_options = False  # passes no test
+        self.ignores_options = False  # does not answer OPTIONS, so the router's connection test fails
         self.free_circuits, self.group_size = 20, 20
 
     def accept_connection(self, transport: Transport) -> HubConnection:
-        """The router connects; the state of the group comes before anything else."""
+        """Accept a connection from the router; the first message on it is the state of the group."""
         conn = HubConnection(self, transport)
         self.conns.append(conn)
         conn.send_request(
@@ -190,7 +191,7 @@
         return conn
 
     def on_message(self, conn: HubConnection, message: Message) -> None:
-        """A whole message."""
+        """Handle a complete message from the router."""
         match message.method:
             case "INVITE":
                 setup = conn.setups[message.ref] = Setup(conn, message)
@@ -200,10 +201,10 @@
                     self._schedule(self.delay_us, lambda: self.answer_by_mode(setup))
             case "CANCEL":
                 conn.transport.write(encode_response(message, 200))
-                cancelled = conn.setups.get(message.ref)
-                if cancelled is not None and cancelled.open:
-                    cancelled.open, cancelled.cancelled = False, True
-                    self.observer.on_given_up(self, cancelled)
+                pending = conn.setups.get(message.ref)
+                if pending is not None and pending.open:
+                    pending.open, pending.cancelled = False, True
+                    self.observer.on_given_up(self, pending)
             case "BYE":
                 conn.transport.write(encode_response(message, 200))
                 self.established.pop(message.ref, None)
@@ -214,13 +215,13 @@
                 conn.transport.write(encode_response(message, 200))
 
     def answer_by_mode(self, setup: Setup) -> None:
-        """Answer a set-up as the mode says, unless it was given up."""
+        """Answer a set-up as the mode says, unless it is no longer open."""
         if setup.open and self.mode != "hold":
             status, _, note = ("200", "", "") if self.mode == "stand" else self.mode.partition(" ")
             self.answer(setup, int(status), note)
 
     def answer(self, setup: Setup, status: int, note: str = "") -> None:
-        """Answer a set-up, whatever has become of it."""
+        """Answer a set-up on its connection, even one that was answered or given up before."""
         if not setup.conn.open:
             return
         self.observer.on_answering(self, setup, status)
@@ -229,11 +230,11 @@
             setup.open = False
         if 200 <= status < 300:
             self.established[setup.ref] = setup.conn
-        more = [f"X-State: x0:{self.free_circuits};x1:{self.group_size};queue:1;qps:60"]
+        headers = [f"X-State: x0:{self.free_circuits};x1:{self.group_size};queue:1;qps:60"]
         if note:
-            more.append(f"X-Note: {note}")
+            headers.append(f"X-Note: {note}")
         body = hub_description(self.name, setup.ref) if 200 <= status < 300 else b""
-        setup.conn.transport.write(encode_response(setup.message, status, body, *more))
+        setup.conn.transport.write(encode_response(setup.message, status, body, *headers))
 
     def send_bye(self, ref: str, cause: int) -> bool:
         """Release a call: on the connection that carried its set-up, else on any open one."""
@@ -246,12 +247,12 @@
         return conn.send_request("BYE sip:a@net", ref, f"Reason: Q.850;cause={cause}")
 
     def send_state(self, free: int) -> None:
-        """The state of the group, on every open connection."""
+        """Send the state of the group on every connection, with ``free`` circuits from now on."""
         self.free_circuits = free
         for conn in list(self.conns):
             conn.send_request("NOTIFY sip:group@net", "x", f"X-State: x0:{free};x1:{self.group_size}")
 
 
 def hub_description(hub: str, ref: str) -> bytes:
-    """The description that a hub gives for a call: what no text codec leaves alone."""
+    """A hub's description of a call, with bytes that text codecs alter: CRLF, non-UTF-8, NUL, quotes."""
     return f"{hub} {ref}\r\n\r\nSIP\u00e9".encode() + b'\xff\xfe\x00\x80"\\'
