--- a/barleywheel/standins/journal.py
+++ b/barleywheel/standins/journal.py
@@ -1,4 +1,4 @@
-"""The journal service: long poll over HTTP/1.1, as PROTOCOL words it."""
+"""The journal service: long polling over HTTP/1.1, as the platform's PROTOCOL specifies."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 
 
 class PollConnection:
-    """One connection of the router's."""
+    """A connection on which the router polls, one request at a time."""
 
     def __init__(self, journal: Journal, transport: Transport) -> None:
         self.journal, self.transport, self.open = journal, transport, True
-        self.tail: int | None = None  # of the request that waits
+        self.tail: int | None = None  # event number in the pending request; None while there is none
         self._buffer = b""
-        self._number = 0
+        self._request_number = 0  # tells a wait that ends late from that of a newer request
 
     def data_received(self, data: bytes) -> None:
         """See ``virtual.network.StreamHandler``."""
@@ -27,19 +27,19 @@
             return
         match = GET_REQUEST.fullmatch(self._buffer)
         if not match:
-            raise ProtocolError(f"journal: {self._buffer[:80]!r}")
+            raise ProtocolError(f"journal: malformed request {self._buffer[:80]!r}")
         self._buffer = b""
         wait_ms = int(match[2])
         if not 0 <= wait_ms <= 5000:
-            raise ProtocolError(f"journal: asked to wait {wait_ms} ms")
-        self.tail, self._number = int(match[1]), self._number + 1
-        number = self._number
+            raise ProtocolError(f"journal: asked to wait {wait_ms} ms, more than 5000")
+        self.tail, self._request_number = int(match[1]), self._request_number + 1
+        request_number = self._request_number
         self.journal.respond_if_ready(self)
         if self.tail is not None:
-            self.journal.schedule(wait_ms * 1000, lambda: self._on_wait_over(number))
+            self.journal.schedule(wait_ms * 1000, lambda: self._on_wait_over(request_number))
 
-    def _on_wait_over(self, number: int) -> None:
-        if number == self._number and self.tail is not None and self.open:
+    def _on_wait_over(self, request_number: int) -> None:
+        if request_number == self._request_number and self.tail is not None and self.open:
             self.journal.respond(self)
 
     def connection_lost(self, reset: bool) -> None:
@@ -50,27 +50,28 @@
 
 
 class Journal:
-    """Numbered events, and who waits for them.
+    """The numbered events and the connections that poll for them.
 
-    ``mode``: ``ok``; ``stall`` answers nothing; ``cut`` breaks off in the middle of an answer; ``garble``
-    answers with ``bad_body`` in place of the JSON; ``raw`` answers with ``bad_body`` alone.
+    ``mode``: ``ok`` serves normally; ``stall`` does not respond; ``cut`` closes the connection before the end
+    of a response; ``garble`` sends ``bad_body`` as the body; ``raw`` sends ``bad_body`` as the whole response
+    and closes.
     """
 
     def __init__(self, schedule: Scheduler) -> None:
         self.schedule = schedule
         self.entries: list[dict[str, Any]] = []
-        self.pos = 0
+        self.pos = 0  # number of the latest event
         self.polls: list[PollConnection] = []
         self.mode, self.bad_body = "ok", b""
 
     def accept_connection(self, transport: Transport) -> PollConnection:
-        """The router connects."""
+        """Accept a connection from the router."""
         poll = PollConnection(self, transport)
         self.polls.append(poll)
         return poll
 
     def publish(self, endpoints: list[dict[str, Any]], snapshot: bool = False, skip: int = 0) -> int:
-        """One more event; returns its number. ``skip`` leaves out as many numbers before it."""
+        """Append an event and return its number; ``skip`` numbers before it are left unused."""
         self.pos += 1 + skip
         self.entries.append(
             {"pos": self.pos, "hosts": {"index": self.pos, "snapshot": snapshot, "endpoints": endpoints}}
@@ -81,16 +82,16 @@
         return self.pos
 
     def entries_after(self, tail: int) -> dict[str, Any]:
-        """What is later than an event."""
+        """The response for a poll: every event with a number above ``tail``."""
         return {"pos": self.pos, "entries": [entry for entry in self.entries if entry["pos"] > tail]}
 
     def respond_if_ready(self, poll: PollConnection) -> None:
-        """Answer at once where there is something to tell."""
+        """Respond at once if there are newer events, or in any mode that spoils responses."""
         if self.mode != "ok" or poll.tail is not None and self.pos > poll.tail:
             self.respond(poll)
 
     def respond(self, poll: PollConnection) -> None:
-        """Answer a request."""
+        """Respond to the pending request as the mode says."""
         if self.mode == "stall" or poll.tail is None:
             return
         body = json.dumps(self.entries_after(poll.tail)).encode()
