--- a/barleywheel/fronts/platform.py
+++ b/barleywheel/fronts/platform.py
@@ -18,8 +18,8 @@
 from barleywheel.wire import Malformed, jsonlines, sip
 
 log = logging.getLogger(__name__)
-CALL_ID = re.compile(r"[0-9a-fA-F]{16}\Z")
-NUMBER = re.compile(r"[0-9a-fA-F]{1,16}\Z")
+CALL_ID_PATTERN = re.compile(r"[0-9a-fA-F]{16}\Z")
+CALLED_NUMBER_PATTERN = re.compile(r"[0-9a-fA-F]{1,16}\Z")
 RELEASE_RETENTION_US = 8_000_000  # how long a release waits for a caller's connection
 # a connection without a whole message for so long is closed: a close is owed within 3 s
 FIRST_MESSAGE_TIMEOUT_US = 2_300_000
@@ -41,7 +41,7 @@
     def answer(self, request: Request, description: bytes) -> bool:
         """Tell that the call stands."""
         data = jsonlines.encode("up", request.ref, description=description)
-        if len(data) > jsonlines.LIMIT:  # escaped, it has grown beyond what the wire allows
+        if len(data) > jsonlines.MAX_LINE_BYTES:  # escaped, it has grown beyond what the wire allows
             self.reject(request, Rejection(CAUSE_TEMPORARY_FAILURE))
             return False
         self.refs.discard(request.ref)
@@ -165,7 +165,7 @@
             self._raise_trust(caller)
             caller.conn.write(jsonlines.encode("hb_ok", ref, cause=0 if self.shutting_down else 1))
             return
-        if not CALL_ID.match(ref):
+        if not CALL_ID_PATTERN.match(ref):
             raise Malformed("no call id")
         if kind == "new":
             request = read_request(caller, message)
@@ -243,7 +243,7 @@
     destination, source = _int(extras.get("dest"), -1), _int(extras.get("via", -1), -2)
     width = _float(extras.get("width", 1), -1.0)
     # Guards the hubs' wire too: a hub closes on what it can't read, with all that is open there.
-    if not NUMBER.match(number) or len(description) + INVITE_OVERHEAD > sip.LIMIT:
+    if not CALLED_NUMBER_PATTERN.match(number) or len(description) + INVITE_OVERHEAD > sip.MAX_MESSAGE_BYTES:
         number, destination = "", -1
     if not 0 < width <= MAX_WIDTH or not -1 <= source <= 0xFFFF or destination > 0xFFFF:
         destination = -1
--- a/barleywheel/fuzz/codecs.py
+++ b/barleywheel/fuzz/codecs.py
@@ -120,7 +120,7 @@
     line = jsonlines.encode("up", "9b1f03aa00000001", description=body)
     buffer.append(line)
     try:
-        message = jsonlines.parse_next(buffer) if len(line) <= jsonlines.LIMIT else None
+        message = jsonlines.parse_next(buffer) if len(line) <= jsonlines.MAX_LINE_BYTES else None
     except Malformed as error:
         return [*violations, Violation("not decoded again", str(error))]
     if message is not None and jsonlines.description(message) != body:
@@ -138,14 +138,18 @@
 
 
 def _request(message: dict[str, Any]) -> list[Violation]:
-    from barleywheel.fronts.platform import CALL_ID, NUMBER, read_request
+    from barleywheel.fronts.platform import CALL_ID_PATTERN, CALLED_NUMBER_PATTERN, read_request
 
-    if message["t"] != "new" or not CALL_ID.match(message.get("ref", "")):
+    if message["t"] != "new" or not CALL_ID_PATTERN.match(message.get("ref", "")):
         return []
     request = read_request(None, message)  # type: ignore[arg-type]
     if request.destination >= 0 and request.time_left_us > 0:
         data = sip.invite(request.ref, 1, request.called_number, "voice", 1, request.description)
-        if not NUMBER.match(request.called_number) or not 0 < request.width <= 64 or len(data) > sip.LIMIT:
+        if (
+            not CALLED_NUMBER_PATTERN.match(request.called_number)
+            or not 0 < request.width <= 64
+            or len(data) > sip.MAX_MESSAGE_BYTES
+        ):
             return [Violation("request", repr(request)[:300])]
     return []
 
--- a/barleywheel/fuzz/scripts.py
+++ b/barleywheel/fuzz/scripts.py
@@ -920,7 +920,7 @@
             "set-ups": [
                 key for one in router.hubs.hubs.values() for conn in one.connections for key in conn.setups
             ],
-            "releases of hubs": [kept for one in router.hubs.hubs.values() for kept in one.releases],
+            "releases of hubs": [kept for one in router.hubs.hubs.values() for kept in one.pending_releases],
             "module's set-ups out": [
                 call for x in router.facade._module.exchanges.values() for call in x.pending
             ],
--- a/barleywheel/net/hubs.py
+++ b/barleywheel/net/hubs.py
@@ -77,7 +77,9 @@
         self.release_scheduled_for_us = 0
         # for its keeper; a try to connect has ended
         self.wake, self.connect_finished = runtime.event(), runtime.event()
-        self.releases: list[tuple[int, str, int, str, int]] = []  # waiting for a connection: until, BYE
+        self.pending_releases: list[
+            tuple[int, str, int, str, int]
+        ] = []  # waiting for a connection: until, BYE
 
     def usable_connection(self, call: Call | None = None) -> HubConnection | None:
         """A connection for a new set-up: nothing queued, no half message read, not known to be silent.
@@ -218,10 +220,10 @@
         conn = HubConnection(sock, hub.name.decode(), self.deadlines)
         hub.connections.append(conn)
         runtime.spawn(self._read, hub, conn)
-        for until, ref, cseq, number, cause in hub.releases:
+        for until, ref, cseq, number, cause in hub.pending_releases:
             if until > now_us():
                 conn.write(sip.bye(ref, cseq, number, cause))
-        hub.releases.clear()
+        hub.pending_releases.clear()
         return conn
 
     def _read(self, hub: Hub, conn: HubConnection) -> None:
@@ -371,8 +373,8 @@
         connections = [hub_attempt.conn] + ([c for c in hub.connections if not c.suspect] if hub else [])
         data = sip.bye(leg.ref, hub_attempt.cseq + 1, hub_attempt.number, cause)
         if not any(conn.write(data) for conn in connections) and hub is not None:
-            hub.releases = [kept for kept in hub.releases if kept[0] > now_us()]
-            hub.releases.append(
+            hub.pending_releases = [kept for kept in hub.pending_releases if kept[0] > now_us()]
+            hub.pending_releases.append(
                 (now_us() + RELEASE_RETENTION_US, leg.ref, hub_attempt.cseq + 1, hub_attempt.number, cause)
             )
 
--- a/barleywheel/net/journal.py
+++ b/barleywheel/net/journal.py
@@ -68,10 +68,10 @@
             if event.pos <= self.pos:
                 continue
             self.pos = event.pos
-            if not event.whole and not event.endpoints:
+            if not event.is_snapshot and not event.endpoints:
                 continue
-            self.facade.update_hubs(event.endpoints, event.whole)
-            self.hubs.update(event.endpoints, event.whole)
+            self.facade.update_hubs(event.endpoints, event.is_snapshot)
+            self.hubs.update(event.endpoints, event.is_snapshot)
             for endpoint in event.endpoints:
                 log.info(
                     "hub list: hub=%s group=%s state=%s address=%s",
--- a/barleywheel/wire/journal.py
+++ b/barleywheel/wire/journal.py
@@ -33,7 +33,7 @@
     """One event: the whole list, or what has changed in it."""
 
     pos: int
-    whole: bool
+    is_snapshot: bool
     endpoints: list[Endpoint]
 
 
--- a/barleywheel/wire/jsonlines.py
+++ b/barleywheel/wire/jsonlines.py
@@ -8,13 +8,13 @@
 from barleywheel.net.buffer import Buffer
 from barleywheel.wire import Malformed
 
-LIMIT = 16 * 1024
+MAX_LINE_BYTES = 16 * 1024
 
 
 def parse_next(buffer: Buffer) -> dict[str, Any] | None:
     """Take the next message off the buffer; None until it is whole."""
     end = buffer.find(b"\n")
-    if end > LIMIT or end < 0 and len(buffer) > LIMIT:
+    if end > MAX_LINE_BYTES or end < 0 and len(buffer) > MAX_LINE_BYTES:
         raise Malformed("line over 16 KiB")
     if end < 0:
         return None
--- a/barleywheel/wire/sip.py
+++ b/barleywheel/wire/sip.py
@@ -8,7 +8,7 @@
 from barleywheel.net.buffer import Buffer
 from barleywheel.wire import Malformed
 
-LIMIT = 16 * 1024
+MAX_MESSAGE_BYTES = 16 * 1024
 MAX_CSEQ = 1 << 31  # RFC 3261, 8.1.1.5
 STATUS = re.compile(r"SIP/2\.0 ([1-6]\d\d)(?: .*)?\Z")
 REQUEST = re.compile(r"([A-Z]+) (\S+) SIP/2\.0\Z")
@@ -71,7 +71,7 @@
         buffer.take(2)
     if buffer.parsed_head is None:  # the head is read once, however slowly the body comes
         end = buffer.find(b"\r\n\r\n")
-        if end > LIMIT or end < 0 and len(buffer) > LIMIT:
+        if end > MAX_MESSAGE_BYTES or end < 0 and len(buffer) > MAX_MESSAGE_BYTES:
             raise Malformed("message over 16 KiB")
         if end < 0:
             return None
@@ -80,7 +80,7 @@
         if not (length.isascii() and length.isdigit() and len(length) < 10):
             raise Malformed("bad Content-Length")
         size = end + 4 + int(length)
-        if size > LIMIT:
+        if size > MAX_MESSAGE_BYTES:
             raise Malformed("message over 16 KiB")
         buffer.parsed_head = end, size, message
     end, size, message = buffer.parsed_head
