--- a/barleywheel/net/hubs.py
+++ b/barleywheel/net/hubs.py
@@ -1,4 +1,4 @@
-"""Connections to build hubs, spoken to in SIP: at most four a hub, one of them opened early."""
+"""SIP connections to build hubs: at most four per hub, the first opened before there is a call for it."""
 
 from __future__ import annotations
 
@@ -17,16 +17,22 @@
 from barleywheel.wire.journal import Endpoint
 
 log = logging.getLogger(__name__)
-MAX_CONNECTIONS = 4  # connections a hub
-RECONNECT_DELAYS_S = (0.1, 0.25, 0.5, 1.0)  # waits between tries to reach a hub that can't be reached
-# calls at a hub that vanished so long ago are released: 8 s after an end is too late
-SILENCE_RELEASE_US = 7_300_000
-SILENCE_RECONNECT_US = 3_000_000  # after so much silence a new connection must show that the hub is there
-PING_AFTER_SILENCE_US = 80_000  # a set-up out, and nothing read for so long: the connection is tested
-PING_TIMEOUT_US = 100_000  # a test is passed at once; without an answer in this time the connection is dead
-CHECK_LATENESS_LIMIT_US = 20_000  # a check that runs so late proves nothing: it was we who stood still
-MESSAGE_TIMEOUT_US = 250_000  # hubs write a message at once: the rest of a half one will not come
-MAX_ENDED_SETUPS = 512  # set-ups that ended without standing, remembered for their late answers, a connection
+MAX_CONNECTIONS_PER_HUB = 4
+RECONNECT_DELAYS_S = (0.1, 0.25, 0.5, 1.0)  # indexed by the failed connects in a row, up to the last
+# Below 8 s: callers must be notified within 8 s of the end of a call, and an unreachable hub reports no ends.
+RELEASE_AFTER_SILENCE_US = 7_300_000
+# After this silence a new connection is opened to find out whether the hub is still reachable.
+RECONNECT_AFTER_SILENCE_US = 3_000_000
+# A connection with an open set-up on which nothing was read for this long is pinged with OPTIONS.
+PING_AFTER_SILENCE_US = 80_000
+# Even a slow hub answers OPTIONS immediately; a connection without an answer by then is closed.
+PING_TIMEOUT_US = 100_000
+# A check that runs later than this proves nothing, because this process was stalled; it is repeated.
+MAX_CHECK_DELAY_US = 20_000
+# Hubs write each message in one piece, so the rest of an incomplete one is not expected after this.
+MESSAGE_TIMEOUT_US = 250_000
+# Ended set-ups remembered per connection, so that a late 200 for one of them is released with a BYE.
+MAX_ENDED_SETUPS_PER_CONNECTION = 512
 RELEASE_RETENTION_US = 8_000_000  # how long a release waits for a connection to its hub
 STATUS_BY_RESPONSE = {
     503: AttemptStatus.REFUSED,
@@ -39,53 +45,52 @@
 
 
 class HubConnection(Connection):
-    """A connection and the set-ups open on it."""
+    """A connection to a hub, with the set-ups that are open on it."""
 
     def __init__(self, sock: sockets.Socket, peer: str, deadlines: Deadlines) -> None:
         super().__init__(sock, peer, deadlines, MESSAGE_TIMEOUT_US, first=False)
         self.setups: dict[tuple[str, int], Attempt] = {}
-        # what a late 200 must be undone for
+        # Ended without an established call; a late 200 for one of these is answered with a BYE.
         self.ended_setups: OrderedDict[tuple[str, int], None] = OrderedDict()
         self.last_received_us = now_us()
-        self.check_scheduled = False  # a check of it is due while set-ups are out
-        self.suspect = False  # a set-up on it timed out and nothing has been read since
+        self.silence_check_scheduled = False
+        self.suspect = False  # the hub may be unreachable; cleared when a message is read
 
     def remember_ended(self, key: tuple[str, int]) -> None:
-        """Remember a set-up that has ended without standing."""
+        """Remember a set-up that ended without an established call."""
         self.ended_setups[key] = None
-        if len(self.ended_setups) > MAX_ENDED_SETUPS:
+        if len(self.ended_setups) > MAX_ENDED_SETUPS_PER_CONNECTION:
             self.ended_setups.popitem(last=False)
 
 
 class HubAttempt:
-    """Where an attempt went: its connection and its place in the call's sequence."""
+    """Carrier state of an attempt: its connection, CSeq and called number."""
 
     def __init__(self, conn: HubConnection, cseq: int, number: str) -> None:
         self.conn, self.cseq, self.number = conn, cseq, number
 
 
 class Hub:
-    """One build hub: its address, its state and its connections."""
+    """A build hub: its address, its connections and what waits for one."""
 
     def __init__(self, name: bytes, address: str) -> None:
         self.name, self.address = name, address
         self.connections: list[HubConnection] = []
-        self.connecting = 0
-        self.gone = False
+        self.connecting = 0  # connects in progress
+        self.gone = False  # removed from the hub list
         self.last_received_us = now_us()
-        # the last_received_us for which a release of its calls is already due
-        self.release_scheduled_for_us = 0
-        # for its keeper; a try to connect has ended
-        self.wake, self.connect_finished = runtime.event(), runtime.event()
-        self.pending_releases: list[
-            tuple[int, str, int, str, int]
-        ] = []  # waiting for a connection: until, BYE
+        # The last_received_us for which a release of the hub's calls is already scheduled.
+        self.release_scheduled_for_silence_since_us = 0
+        self.maintenance_needed = runtime.event()
+        self.connect_attempt_ended = runtime.event()
+        # Waiting for a connection: expiry time in us, then Call-ID, CSeq, called number and cause of the BYE.
+        self.pending_releases: list[tuple[int, str, int, str, int]] = []
 
     def usable_connection(self, call: Call | None = None) -> HubConnection | None:
-        """A connection for a new set-up: nothing queued, no half message read, not known to be silent.
+        """Return a connection for a new set-up: nothing queued, no incomplete message read, not suspect.
 
-        A call that goes to the same hub again takes one that has not carried it: hubs answer every INVITE of
-        a call as CSeq 1, so only the connection tells its answers apart.
+        A call that is sent to the same hub again needs a connection that has not carried it before: hubs
+        answer every INVITE of a call with CSeq 1, so only the connection tells the answers apart.
         """
         ready = [
             c
@@ -99,7 +104,7 @@
 
 
 class HubPool:
-    """Places attempts at hubs; tells the core what hubs say."""
+    """Sends attempts to hubs and passes the hubs' messages to the core."""
 
     def __init__(
         self,
@@ -112,116 +117,119 @@
         self.connect_timeout_s = connect_timeout_us / 1e6
         self.hubs: dict[bytes, Hub] = {}
 
-    def update(self, endpoints: list[Endpoint], whole: bool) -> None:
-        """Follow the hub list."""
-        named = set()
+    def update(self, endpoints: list[Endpoint], is_snapshot: bool) -> None:
+        """Apply a change of the hub list; hubs that a snapshot does not list are removed."""
+        listed = set()
         for endpoint in endpoints:
             name = endpoint.name.encode("utf-8", "surrogatepass")
-            named.add(name)
+            listed.add(name)
             if endpoint.status == "Gone":
                 self._remove(name)
             elif name not in self.hubs and endpoint.address is not None:
                 self.hubs[name] = Hub(name, endpoint.address)
                 if self.facade.cell_of(name) != self.facade.home_cell and not self._has_other_carrier(name):
-                    runtime.spawn(self._maintain, self.hubs[name])
-        if whole:
-            for name in [name for name in self.hubs if name not in named]:
+                    runtime.spawn(self._maintain_connection, self.hubs[name])
+        if is_snapshot:
+            for name in [name for name in self.hubs if name not in listed]:
                 self._remove(name)
 
     def _has_other_carrier(self, name: bytes) -> bool:
-        return self.facade.cell_of(name) in self.call_manager.carriers  # another carrier reaches that one
+        return self.facade.cell_of(name) in self.call_manager.carriers
 
     def _remove(self, name: bytes) -> None:
         hub = self.hubs.pop(name, None)
         if hub is not None:
             hub.gone = True
-            hub.wake.set()
-            # Its process has ended, and its calls with it. A connection that still speaks may be that of a
-            # new hub at the same address, so it proves nothing.
+            hub.maintenance_needed.set()
+            # The hub's process has ended, and its calls with it. Traffic on a connection does not disprove
+            # that: it may come from a new hub at the same address.
             self.call_manager.established.release_all_at_hub(name)
             for conn in hub.connections:
                 conn.close()
 
     # Connections.
 
-    def _maintain(self, hub: Hub) -> None:
-        """Keep a connection open: group state comes on it, and releases."""
-        tries = 0
+    def _maintain_connection(self, hub: Hub) -> None:
+        """Keep a connection open: the hub sends group state and releases on it."""
+        failed_connects = 0
         while not hub.gone:
             if (
                 hub.usable_connection() is None
-                and len(hub.connections) + hub.connecting < MAX_CONNECTIONS
-                and not self._address_taken_over(hub)
+                and len(hub.connections) + hub.connecting < MAX_CONNECTIONS_PER_HUB
+                and not self._is_address_reused(hub)
             ):
-                tries = 0 if self._connect(hub) else tries + 1
-            elif now_us() - hub.last_received_us > SILENCE_RECONNECT_US:
+                failed_connects = 0 if self._connect(hub) else failed_connects + 1
+            elif now_us() - hub.last_received_us > RECONNECT_AFTER_SILENCE_US:
                 self._replace_silent_connection(hub)
-            hub.wake.clear()
-            hub.wake.wait(
-                RECONNECT_DELAYS_S[min(tries, len(RECONNECT_DELAYS_S) - 1)]
+            hub.maintenance_needed.clear()
+            hub.maintenance_needed.wait(
+                RECONNECT_DELAYS_S[min(failed_connects, len(RECONNECT_DELAYS_S) - 1)]
                 if hub.usable_connection() is None
                 else 1.0
             )
 
     def _replace_silent_connection(self, hub: Hub) -> None:
-        """Put a new connection in the place of a silent one: a machine that vanished lets none come up."""
-        old = [conn for conn in hub.connections if not conn.setups]
-        if len(hub.connections) + hub.connecting >= MAX_CONNECTIONS:
-            if old:
-                old[0].close()
+        """Replace silent connections by a new one; a connect to a machine that vanished does not succeed."""
+        idle = [conn for conn in hub.connections if not conn.setups]
+        if len(hub.connections) + hub.connecting >= MAX_CONNECTIONS_PER_HUB:
+            if idle:
+                idle[0].close()
         elif self._connect(hub) is None:
             for conn in hub.connections:
-                conn.suspect = now_us() - hub.last_received_us > SILENCE_RECONNECT_US
+                conn.suspect = now_us() - hub.last_received_us > RECONNECT_AFTER_SILENCE_US
         else:
-            for conn in old:
+            for conn in idle:
                 conn.close()
 
     def _schedule_silence_release(self, hub: Hub) -> None:
-        """The hub can't be reached, or is gone with connections open: unless heard, its calls are over."""
-        heard = hub.last_received_us
-        if hub.release_scheduled_for_us != heard:
-            hub.release_scheduled_for_us = heard
-
-            def check() -> None:
-                # Guards calls that end while their hub is cut off: nothing says so, and yet their
-                # callers must be told within 8 s. Those that would have gone on are lost with them.
-                if hub.last_received_us == heard:
-                    log.warning("calls of a silent hub released: hub=%s", hub.name.decode())
+        """Release the calls of a hub that can't be reached, unless it sends something before then."""
+        silent_since_us = hub.last_received_us
+        if hub.release_scheduled_for_silence_since_us != silent_since_us:
+            hub.release_scheduled_for_silence_since_us = silent_since_us
+
+            def release_if_silent() -> None:
+                # A hub that is cut off can't report that a call has ended, yet the caller must be notified
+                # within 8 s. The cost: calls that would have continued are released as well.
+                if hub.last_received_us == silent_since_us:
+                    log.warning("calls released, hub unreachable: hub=%s", hub.name.decode())
                     self.call_manager.established.release_all_at_hub(hub.name)
 
-            self.deadlines.schedule(max(heard + SILENCE_RELEASE_US, now_us()), check)
+            self.deadlines.schedule(
+                max(silent_since_us + RELEASE_AFTER_SILENCE_US, now_us()), release_if_silent
+            )
 
-    def _address_taken_over(self, hub: Hub) -> bool:
-        """A new hub may have the address of one that drains or is gone."""
+    def _is_address_reused(self, hub: Hub) -> bool:
+        """Whether a ready hub now has the address of this one, which is draining or gone."""
         return not self.facade.is_ready(hub.name) and any(
             other.address == hub.address and self.facade.is_ready(other.name) for other in self.hubs.values()
         )
 
     def _connect(self, hub: Hub) -> HubConnection | None:
-        """Open a connection; blocks until it is up, refused or timed out."""
+        """Open a connection; blocks until it is established, refused or timed out. None if it failed."""
         hub.connecting += 1
         try:
             sock = sockets.connect(hub.address, self.connect_timeout_s)
         except (OSError, ValueError) as error:
-            log.info("hub not reached: hub=%s %s", hub.name.decode(), error)
+            log.info("connect to hub failed: hub=%s %s", hub.name.decode(), error)
             if not isinstance(error, ConnectionRefusedError):
                 self._schedule_silence_release(hub)
             elif not hub.connections:
-                # its process is dead, and its calls are cut
+                # Nothing listens and no connection is left: the hub's process and its calls have ended.
                 self.call_manager.established.release_all_at_hub(hub.name)
             else:
-                # Guards calls through a draining hub: it takes no new connections, and keeps those it has.
+                # A draining hub refuses new connections but keeps its open ones, so its calls must not be
+                # released: the refusal counts as a sign of life.
                 hub.last_received_us = now_us()
             return None
         finally:
             hub.connecting -= 1
-            hub.connect_finished.set()
+            hub.connect_attempt_ended.set()
         hub.last_received_us = now_us()
         conn = HubConnection(sock, hub.name.decode(), self.deadlines)
         hub.connections.append(conn)
         runtime.spawn(self._read, hub, conn)
-        for until, ref, cseq, number, cause in hub.pending_releases:
-            if until > now_us():
+        for expires_us, ref, cseq, number, cause in hub.pending_releases:
+            if expires_us > now_us():
                 conn.write(sip.bye(ref, cseq, number, cause))
         hub.pending_releases.clear()
         return conn
@@ -232,23 +240,23 @@
             conn.suspect = False
             try:
                 self._handle_message(hub, conn, message)
-            except Exception:  # no hub's message may end the process, or the connection's other calls
-                log.exception("message of a hub not understood: hub=%s", conn.peer)
+            except Exception:  # one bad message must not end the process or the connection's other calls
+                log.exception("failed to handle a message from a hub: hub=%s", conn.peer)
         hub.connections.remove(conn)
         if conn.setups or conn.reset:
             log.info("hub connection lost: hub=%s reset=%s open=%d", conn.peer, conn.reset, len(conn.setups))
         for attempt in list(conn.setups.values()):
-            # what is open on a closed connection is given up
+            # A final response counts only on the connection of its INVITE, so these set-ups have failed.
             attempt.finish(AttemptResult(AttemptStatus.RESET))
         conn.setups.clear()
         if hub.gone and not hub.connections:
             self.call_manager.established.release_all_at_hub(hub.name)
-        hub.wake.set()
+        hub.maintenance_needed.set()
 
     # Attempts.
 
     def place(self, attempt: Attempt) -> None:
-        """Send the set-up on an open connection, else on a new one."""
+        """Send the set-up on an open connection, or on a new one if none is usable."""
         hub = self.hubs.get(attempt.hub)
         if hub is None:
             attempt.finish(AttemptResult(AttemptStatus.NOT_SENT))
@@ -258,24 +266,24 @@
             runtime.spawn(self._connect_and_send, hub, attempt)
 
     def _connect_and_send(self, hub: Hub, attempt: Attempt) -> None:
-        if len(hub.connections) + hub.connecting >= MAX_CONNECTIONS:
-            silent = [c for c in hub.connections if c.suspect and not c.setups]
-            if not silent:
-                self._send_on_other(hub, attempt)
+        if len(hub.connections) + hub.connecting >= MAX_CONNECTIONS_PER_HUB:
+            suspects = [c for c in hub.connections if c.suspect and not c.setups]
+            if not suspects:
+                self._send_on_existing_connection(hub, attempt)
                 return
-            silent[0].close()
+            suspects[0].close()
         conn = self._connect(hub)
-        hub.wake.set()
+        hub.maintenance_needed.set()
         if conn is None:
             attempt.finish(AttemptResult(AttemptStatus.UNREACHABLE))
         elif not attempt.has_ended:
             self._send(conn, attempt)
 
-    def _send_on_other(self, hub: Hub, attempt: Attempt) -> None:
-        """Take what others have opened by then; no further connection is allowed."""
+    def _send_on_existing_connection(self, hub: Hub, attempt: Attempt) -> None:
+        """Wait for connects in progress and use what they open: the hub has its maximum of connections."""
         while hub.connecting and hub.usable_connection(attempt.call) is None and not attempt.has_ended:
-            hub.connect_finished.clear()
-            hub.connect_finished.wait(self.connect_timeout_s)
+            hub.connect_attempt_ended.clear()
+            hub.connect_attempt_ended.wait(self.connect_timeout_s)
         if attempt.has_ended:
             return
         if (conn := hub.usable_connection(attempt.call)) is not None:
@@ -289,12 +297,13 @@
 
     def _send(self, conn: HubConnection, attempt: Attempt) -> None:
         if not attempt.may_send(attempt.hub):
-            # Guards rule 3: the list may have changed while a connection was awaited.
+            # Nothing new may go to a hub after it was reported draining or gone, and the hub list may have
+            # changed during the connect.
             attempt.finish(AttemptResult(AttemptStatus.NOT_SENT))
             return
         request = attempt.call.request
-        # Counted by connection and call: a hub that gets its first INVITE of a call answers it as CSeq 1,
-        # so a number that went on from an attempt at another hub never found its answer.
+        # CSeq is counted per connection and call. A hub answers its first INVITE of a call with CSeq 1, so
+        # with a CSeq that continued from an attempt at another hub the answer would match no attempt.
         now, cseq = now_us(), attempt.call.carrier_data.get(conn, 0) + 1
         attempt.call.carrier_data[conn] = cseq
         left_us = attempt.started_us + attempt.limit_us - now
@@ -309,44 +318,50 @@
         attempt.sent_us, attempt.carrier_state = now, HubAttempt(conn, cseq, request.called_number)
         conn.setups[request.ref, cseq] = attempt
         if not conn.write(data):
-            # It was reset while it was idle, and not a byte of this left: it never ran.
+            # The connection was reset while idle and no byte of the INVITE left, so the call has not run.
             conn.setups.pop((request.ref, cseq), None)
-            log.info("set-up moved to another connection: hub=%s ref=%s", conn.peer, request.ref)
+            log.info("set-up not sent, trying another connection: hub=%s ref=%s", conn.peer, request.ref)
             self.place(attempt)
-        elif not conn.check_scheduled:
-            self._schedule_check(conn, attempt.hub, PING_AFTER_SILENCE_US, False)
+        elif not conn.silence_check_scheduled:
+            self._schedule_silence_check(conn, attempt.hub, PING_AFTER_SILENCE_US, False)
 
-    def _schedule_check(self, conn: HubConnection, name: bytes, wait_us: int, tested: bool) -> None:
-        """Look after a connection with set-ups out: one that is open and silent is of no further use.
+    def _schedule_silence_check(
+        self, conn: HubConnection, name: bytes, delay_us: int, ping_sent: bool
+    ) -> None:
+        """Check later whether a connection with open set-ups has gone silent: ping it first, then close it.
 
-        A hub that is merely slow passes the test (OPTIONS) at once; where nothing comes, the set-ups on the
-        connection are given up, and others no longer go there. Not at a draining hub, which takes no new one.
+        A hub that is merely slow answers the ping (OPTIONS) immediately. Without an answer the connection is
+        closed, which ends its set-ups and keeps new ones off it. Connections to a draining hub are not
+        checked, because they could not be replaced: it accepts no new ones.
         """
-        heard, due, conn.check_scheduled = conn.last_received_us, now_us() + wait_us, True
+        last_received_us, due_us = conn.last_received_us, now_us() + delay_us
+        conn.silence_check_scheduled = True
 
         def check() -> None:
-            conn.check_scheduled = False
+            conn.silence_check_scheduled = False
             if not conn.open or not conn.setups or not self.facade.is_ready(name):
                 return
             now = now_us()
-            first = next(iter(conn.setups.values())).sent_us
+            oldest_sent_us = next(iter(conn.setups.values())).sent_us
             if (
-                conn.last_received_us != heard
-                or now - due > CHECK_LATENESS_LIMIT_US
-                or now - first < PING_AFTER_SILENCE_US // 2
+                conn.last_received_us != last_received_us
+                or now - due_us > MAX_CHECK_DELAY_US
+                or now - oldest_sent_us < PING_AFTER_SILENCE_US // 2
             ):
-                self._schedule_check(conn, name, PING_AFTER_SILENCE_US, False)
-            elif tested:
-                log.info("connection closed, silent: hub=%s open=%d", conn.peer, len(conn.setups))
+                self._schedule_silence_check(conn, name, PING_AFTER_SILENCE_US, False)
+            elif ping_sent:
+                log.info(
+                    "hub connection closed, no answer to OPTIONS: hub=%s open=%d", conn.peer, len(conn.setups)
+                )
                 conn.close()
             else:
                 conn.write(sip.request("OPTIONS", "sip:ping@net", f"{now:016x}", 1))
-                self._schedule_check(conn, name, PING_TIMEOUT_US, True)
+                self._schedule_silence_check(conn, name, PING_TIMEOUT_US, True)
 
-        self.deadlines.schedule(due, check)
+        self.deadlines.schedule(due_us, check)
 
     def cancel(self, attempt: Attempt) -> None:
-        """Give up a set-up; an answer that still comes finds nobody waiting."""
+        """Send a CANCEL for an attempt that has ended; its late answer, if one comes, is released."""
         hub_attempt, ref = attempt.carrier_state, attempt.call.request.ref
         if (
             not isinstance(hub_attempt, HubAttempt)
@@ -360,12 +375,12 @@
             and attempt.result is not None
             and (attempt.result.status is AttemptStatus.TIMEOUT)
         ):
-            hub_attempt.conn.suspect = True  # the machine may have vanished; a new connection will tell
+            hub_attempt.conn.suspect = True  # the machine may have vanished; a new connect will show it
             if (hub := self.hubs.get(attempt.hub)) is not None:
-                hub.wake.set()
+                hub.maintenance_needed.set()
 
     def release(self, leg: Leg, cause: int) -> None:
-        """Take down a call that stands: where its set-up went, else on any connection, else on the next."""
+        """Send a BYE for an established call, on the INVITE's connection, another one or the next opened."""
         hub_attempt = leg.carrier_state
         if not isinstance(hub_attempt, HubAttempt):
             return
@@ -373,12 +388,12 @@
         connections = [hub_attempt.conn] + ([c for c in hub.connections if not c.suspect] if hub else [])
         data = sip.bye(leg.ref, hub_attempt.cseq + 1, hub_attempt.number, cause)
         if not any(conn.write(data) for conn in connections) and hub is not None:
-            hub.pending_releases = [kept for kept in hub.pending_releases if kept[0] > now_us()]
+            hub.pending_releases = [pending for pending in hub.pending_releases if pending[0] > now_us()]
             hub.pending_releases.append(
                 (now_us() + RELEASE_RETENTION_US, leg.ref, hub_attempt.cseq + 1, hub_attempt.number, cause)
             )
 
-    # What hubs say.
+    # Messages from hubs.
 
     def _handle_message(self, hub: Hub, conn: HubConnection, message: sip.Message) -> None:
         if message.status:
@@ -395,20 +410,21 @@
             conn.write(sip.response(200, "OK", message))
 
     def _handle_final_response(self, hub: Hub, conn: HubConnection, message: sip.Message) -> None:
-        """A final answer. It counts only for the attempt with its connection, Call-ID and CSeq."""
+        """End the attempt that a final response belongs to: same connection, Call-ID and CSeq."""
         ref, cseq, load = message.call_id, message.cseq[0], message.load
         attempt = conn.setups.pop((ref, cseq), None)
         number = attempt.call.request.called_number if attempt else ""
         if attempt is None:
             log.info(
-                "answer to no open attempt: hub=%s ref=%s cseq=%d status=%d",
+                "final response without an open attempt: hub=%s ref=%s cseq=%d status=%d",
                 conn.peer,
                 ref,
                 cseq,
                 message.status,
             )
             if (ref, cseq) not in conn.ended_setups:
-                # A second copy, or an id that is not ours: a BYE would cut the call that the first one made.
+                # A duplicate response or an unknown Call-ID: only acknowledged, since a BYE would release
+                # the call that the first response established.
                 conn.write(sip.request("ACK", "sip:@net", ref, cseq))
                 return
         conn.write(sip.request("ACK", f"sip:{number}@net", ref, cseq))
@@ -417,7 +433,7 @@
                 AttemptStatus.ANSWERED, load=load, description=message.body, at_us=now_us()
             )
             if attempt is None or not attempt.finish(result):
-                conn.write(sip.bye(ref, cseq + 1, number, 16))  # late: nobody waits for this call
+                conn.write(sip.bye(ref, cseq + 1, number, 16))  # late: the attempt has ended
                 if load:
                     self.facade.report_load(hub.name, load)
             return
@@ -428,7 +444,7 @@
         conn.remember_ended((ref, cseq))
         if result.status is AttemptStatus.ERROR:
             log.info(
-                "set-up ended in error: hub=%s ref=%s status=%d note=%s",
+                "set-up failed: hub=%s ref=%s status=%d note=%s",
                 conn.peer,
                 ref,
                 message.status,
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -275,7 +275,9 @@
         sent = invite(hub)
         hub.inbox.wait_and_pop(lambda m: m.method == "OPTIONS")
         assert caller.receive("down", REF)["c"] == 41  # well before its time is up
-        assert "closed, silent" in harness.log_text() and "end=timeout" not in harness.log_text()
+        assert (
+            "closed, no answer to OPTIONS" in harness.log_text() and "end=timeout" not in harness.log_text()
+        )
         caller.send_new(OTHER)
         again = invite(hub, OTHER)
         assert again.sock is not sent.sock
@@ -388,7 +390,7 @@
     hub = Hub("h1", 1)
     with running_network(tmp_path, hub) as harness:
         hub.kill()
-        harness.wait_for(lambda: "hub not reached" in harness.log_text())
+        harness.wait_for(lambda: "connect to hub failed" in harness.log_text())
         caller = harness.caller()
         caller.send_new(REF)
         assert caller.receive("down", REF)["c"] == 42
@@ -431,7 +433,7 @@
         caller.receive("up", OTHER)
         hub.vanish()
         assert caller.receive("down", REF)["c"] == 41
-        assert "silent hub" in harness.log_text()
+        assert "calls released, hub unreachable" in harness.log_text()
         assert not caller.inbox  # the other hub is silent too, but reached: its calls stand
 
 
@@ -444,8 +446,8 @@
         hub.listener.shutdown(socket.SHUT_RDWR)
         hub.listener.close()
         # Silent, and looked for every 3 s.
-        harness.wait_for(lambda: harness.log_text().count("hub not reached") >= 3)
-        assert not caller.inbox and "silent hub" not in harness.log_text()
+        harness.wait_for(lambda: harness.log_text().count("connect to hub failed") >= 3)
+        assert not caller.inbox and "calls released, hub unreachable" not in harness.log_text()
         hub.send_bye(REF, 41)
         assert caller.receive("down", REF)["c"] == 41
 
