--- a/barleywheel/net/buffer.py
+++ b/barleywheel/net/buffer.py
@@ -1,4 +1,4 @@
-"""One growing buffer a connection, read into and compacted in place."""
+"""Receive buffer of a connection: grows as needed and is compacted in place."""
 
 from __future__ import annotations
 
@@ -6,23 +6,23 @@
 
 from barleywheel.net.sockets import Socket
 
-START_SIZE = 4096
+INITIAL_BUFFER_BYTES = 4096
 
 
 class Buffer:
-    """Bytes read and not yet consumed, between ``start`` and ``end`` of one bytearray."""
+    """Bytes received and not yet consumed: those between ``start`` and ``end`` of a bytearray."""
 
     def __init__(self) -> None:
-        self.data = bytearray(START_SIZE)
+        self.data = bytearray(INITIAL_BUFFER_BYTES)
         self.start = self.end = 0
-        self.parsed_head: Any = None  # what a codec made of the first bytes; forgotten when any are taken
-        self._mark, self._searched = b"", 0
+        self.parsed_head: Any = None  # a codec's parsed message head; dropped when bytes are taken
+        self._searched_mark, self._searched_bytes = b"", 0
 
     def __len__(self) -> int:
         return self.end - self.start
 
     def fill(self, sock: Socket) -> int:
-        """Read once from the socket; 0 at its end."""
+        """Read once from the socket; 0 at the end of the stream."""
         self.reserve()
         with memoryview(self.data) as view:
             count: int = sock.recv_into(view[self.end :])
@@ -30,41 +30,41 @@
         return count
 
     def reserve(self) -> None:
-        """Make room behind the end: by compacting, and by growing only where that is not enough."""
+        """Free space at the end, by compacting the buffer and growing it only where that is not enough."""
         if self.start == self.end:
             self.start = self.end = 0
         if self.end < len(self.data):
             return
         if self.start:
-            kept = self.end - self.start
-            self.data[:kept] = self.data[self.start : self.end]
-            self.start, self.end = 0, kept
+            size = self.end - self.start
+            self.data[:size] = self.data[self.start : self.end]
+            self.start, self.end = 0, size
         if self.end > len(self.data) // 2:
             self.data.extend(bytes(len(self.data)))
 
     def searched(self, mark: bytes) -> int:
-        """How many bytes from the start are known not to begin the mark."""
-        return self._searched if mark == self._mark else 0
+        """Return how many bytes at the start are known not to begin the mark."""
+        return self._searched_bytes if mark == self._searched_mark else 0
 
     def find(self, mark: bytes) -> int:
-        """Where the mark stands, counted from the start; -1 if it does not.
+        """Return the offset of the mark from the start, or -1.
 
-        What was searched in vain is not searched again: a message that comes byte by byte would cost the
-        square of its length.
+        Bytes that were searched without a match are not searched again, because a message received byte by
+        byte would otherwise take quadratic time.
         """
         at = self.data.find(mark, self.start + self.searched(mark), self.end)
         if at < 0:
-            self._mark, self._searched = mark, max(0, len(self) - len(mark) + 1)
+            self._searched_mark, self._searched_bytes = mark, max(0, len(self) - len(mark) + 1)
             return -1
         return at - self.start
 
     def peek(self, count: int) -> bytes:
-        """The first bytes, which stay."""
+        """Return the first bytes without consuming them."""
         return bytes(self.data[self.start : min(self.start + count, self.end)])
 
     def take(self, count: int) -> bytes:
-        """The first bytes, which go."""
+        """Return the first bytes and consume them."""
         taken = self.peek(count)
         self.start += len(taken)
-        self.parsed_head, self._searched = None, 0
+        self.parsed_head, self._searched_bytes = None, 0
         return taken
