--- a/barleywheel/net/connection.py
+++ b/barleywheel/net/connection.py
@@ -1,4 +1,4 @@
-"""A connection: one buffer in, one bounded queue out, messages cut off by a codec."""
+"""A TCP connection: a receive buffer that a codec takes messages from, and a bounded write queue."""
 
 from __future__ import annotations
 
@@ -15,44 +15,51 @@
 from barleywheel.wire import Malformed
 
 log = logging.getLogger(__name__)
-WRITE_QUEUE_LIMIT = 512 * 1024  # a peer that reads so much too slowly is cut off: it must not take our memory
-MESSAGES_PER_TURN = 16  # messages of one peer after which the others get a turn
-BLOCKED = (errno.EAGAIN, errno.EWOULDBLOCK)
+# A peer that reads too slowly is disconnected at this size, because its queue would exhaust memory.
+MAX_WRITE_QUEUE_BYTES = 512 * 1024
+MESSAGES_BEFORE_YIELD = 16  # messages of one peer before the other greenlets run
+WOULD_BLOCK_ERRNOS = (errno.EAGAIN, errno.EWOULDBLOCK)
 M = TypeVar("M")
 
 
 class Connection:
-    """A connected socket. Writing never blocks: what the socket does not take waits in the queue.
+    """A connected socket. Writing never blocks: what the socket does not accept is queued.
 
-    A message must be whole ``patience_us`` after its first byte, the first one after the connecting where
-    ``first`` says so: half a message would hold its place for good.
+    The connection is closed if a message is still incomplete ``message_timeout_us`` after its first byte: a
+    peer that never completes one would occupy the connection for ever. ``await_first_message`` also limits
+    the time from the connect to the end of the first message.
     """
 
     def __init__(
-        self, sock: sockets.Socket, peer: str, deadlines: Deadlines, patience_us: int, first: bool = True
+        self,
+        sock: sockets.Socket,
+        peer: str,
+        deadlines: Deadlines,
+        message_timeout_us: int,
+        await_first_message: bool = True,
     ) -> None:
         self.sock, self.peer = sock, peer
         self.open, self.reset = True, False
         self.buffer = Buffer()
         self._queue = bytearray()
         self._data_queued = runtime.event()
-        self._writing = False
-        self._deadlines, self._message_timeout_us = deadlines, patience_us
+        self._writer_started = False
+        self._deadlines, self._message_timeout_us = deadlines, message_timeout_us
         self._message_timer: DeadlineHandle | None = None
-        if first:
+        if await_first_message:
             self._start_message_timer()
 
     @property
     def can_write_now(self) -> bool:
-        """Whether a byte written now leaves now."""
+        """Whether a write goes to the socket immediately: open, and nothing queued."""
         return self.open and not self._queue
 
     def unread(self) -> int:
-        """Bytes that have come and that nobody has read yet."""
+        """Number of bytes received by the kernel and not yet read."""
         return sockets.unread(self.sock) if self.open else 0
 
     def write(self, data: bytes) -> bool:
-        """Send, or queue what the socket does not take now; False if the connection is closed."""
+        """Send, or queue what the socket does not accept now; False if the connection is closed."""
         if not self.open:
             return False
         sent = 0
@@ -60,22 +67,22 @@
             try:
                 sent = self.sock.send(data, 0, timeout=0.0)
             except OSError as error:
-                if error.errno not in BLOCKED:
+                if error.errno not in WOULD_BLOCK_ERRNOS:
                     self.close(reset=True)
                     return False
         if sent < len(data):
-            if len(self._queue) + len(data) - sent > WRITE_QUEUE_LIMIT:
-                log.warning("connection closed, its write queue is full: peer=%s", self.peer)
+            if len(self._queue) + len(data) - sent > MAX_WRITE_QUEUE_BYTES:
+                log.warning("connection closed, write queue full: peer=%s", self.peer)
                 self.close()
                 return False
             self._queue += data[sent:]
             self._data_queued.set()
-            if not self._writing:
-                self._writing = True
-                runtime.spawn(self._drain)
+            if not self._writer_started:
+                self._writer_started = True
+                runtime.spawn(self._write_queued)
         return True
 
-    def _drain(self) -> None:
+    def _write_queued(self) -> None:
         while self.open:
             if not self._queue:
                 self._data_queued.clear()
@@ -89,7 +96,7 @@
             del self._queue[:sent]
 
     def messages(self, parse_next: Callable[[Buffer], M | None]) -> Iterator[M]:
-        """Messages until the connection ends. What is malformed ends it, and it alone."""
+        """Yield messages until the connection ends. A malformed one closes this connection only."""
         try:
             while self.open:
                 if self.buffer.fill(self.sock) == 0:
@@ -99,7 +106,7 @@
                     self._cancel_message_timer()
                     yield message
                     count += 1
-                    if count % MESSAGES_PER_TURN == 0:
+                    if count % MESSAGES_BEFORE_YIELD == 0:
                         runtime.sleep(0)
                 if len(self.buffer) and self._message_timer is None and self.open:
                     self._start_message_timer()
@@ -112,7 +119,7 @@
 
     def _start_message_timer(self) -> None:
         self._message_timer = self._deadlines.schedule(
-            now_us() + self._message_timeout_us, self._message_timed_out
+            now_us() + self._message_timeout_us, self._on_message_timeout
         )
 
     def _cancel_message_timer(self) -> None:
@@ -120,13 +127,15 @@
             self._deadlines.cancel(self._message_timer)
             self._message_timer = None
 
-    def _message_timed_out(self) -> None:
+    def _on_message_timeout(self) -> None:
         self._message_timer = None
-        log.info("connection closed, no whole message in time: peer=%s bytes=%d", self.peer, len(self.buffer))
+        log.info(
+            "connection closed, message not complete in time: peer=%s bytes=%d", self.peer, len(self.buffer)
+        )
         self.close()
 
     def close(self, reset: bool = False) -> None:
-        """Close; a second time does nothing."""
+        """Close the connection; has no effect if it is closed already."""
         if self.open:
             self.open, self.reset = False, reset
             self._cancel_message_timer()
--- a/barleywheel/net/hubs.py
+++ b/barleywheel/net/hubs.py
@@ -48,7 +48,7 @@
     """A connection to a hub, with the set-ups that are open on it."""
 
     def __init__(self, sock: sockets.Socket, peer: str, deadlines: Deadlines) -> None:
-        super().__init__(sock, peer, deadlines, MESSAGE_TIMEOUT_US, first=False)
+        super().__init__(sock, peer, deadlines, MESSAGE_TIMEOUT_US, await_first_message=False)
         self.setups: dict[tuple[str, int], Attempt] = {}
         # Ended without an established call; a late 200 for one of these is answered with a BYE.
         self.ended_setups: OrderedDict[tuple[str, int], None] = OrderedDict()
