--- a/barleywheel/net/journal.py
+++ b/barleywheel/net/journal.py
@@ -1,4 +1,4 @@
-"""The journal service: the hub list by long poll over HTTP/1.1."""
+"""Client of the journal service, which delivers the hub list by long poll over HTTP/1.1."""
 
 from __future__ import annotations
 
@@ -15,55 +15,55 @@
 from barleywheel.wire import Malformed, journal
 
 log = logging.getLogger(__name__)
-POLL_HOLD_MS = 1000  # how long the service may hold a poll
-# a poll that says nothing for so long is taken for cut off, well within the 7 s that count
+POLL_HOLD_MS = 1000  # how long the service may delay its answer when there is nothing new
+# A poll without an answer by then counts as lost; that is well within the 7 s allowed for it.
 POLL_TIMEOUT_S = 1.8
 CONNECT_TIMEOUT_S = 0.6
 RETRY_DELAY_S = 0.2
-MAX_ANSWER_SIZE = 4 * 1024 * 1024
+MAX_ANSWER_BYTES = 4 * 1024 * 1024
 POLL_ERRORS = (OSError, ValueError, Malformed, httptools.HttpParserError, httptools.HttpParserUpgrade)
 
 
 class JournalResponse:
-    """One HTTP answer, as httptools fills it in."""
+    """An HTTP response, filled in by the httptools parser."""
 
     def __init__(self) -> None:
         self.body = b""
-        self.done = self.keep = False
+        self.done = self.keep_alive = False
         self.parser = httptools.HttpResponseParser(self)
 
     def on_body(self, body: bytes) -> None:
-        """Called by the parser."""
+        """Parser callback."""
         self.body += body
 
     def on_message_complete(self) -> None:
-        """Called by the parser."""
-        # Asked only here: behind the end of the answer the parser always says no, and every poll went over a
-        # connection of its own, with 0.2 s in between in which nothing was heard.
-        self.done, self.keep = True, bool(self.parser.should_keep_alive())
+        """Parser callback."""
+        # Read here because the parser reports False once the message is over: every poll then opened a
+        # new connection, with a gap of 0.2 s in which no events were received.
+        self.done, self.keep_alive = True, bool(self.parser.should_keep_alive())
 
 
 class JournalClient:
-    """Follows the journal and hands its events to the module and to the pool."""
+    """Polls the journal and passes its events to the decision module and the hub pool."""
 
     def __init__(self, address: str, facade: ControllerFacade, hubs: HubPool) -> None:
         self.address, self.facade, self.hubs = address, facade, hubs
-        self.pos = 0
-        self.alive = False  # for the agent
+        self.pos = 0  # number of the last event applied
+        self.alive = False  # whether the last poll succeeded; read by the SNMP agent
         self._sock: sockets.Socket | None = None
         self._address_changed = runtime.event()
 
     def set_address(self, address: str) -> None:
-        """Go on at another address, from the next number on; the old connection is dropped."""
+        """Continue at another address from the next event; the old connection is closed."""
         if address == self.address:
             return
         self.address = address
         self._address_changed.set()
         if self._sock is not None:
-            self._sock.close()  # wakes a poll that is being held
+            self._sock.close()  # ends a poll in progress
 
     def apply(self, last: int, events: list[journal.Event]) -> None:
-        """Take the events of an answer, each of them once."""
+        """Apply the events of an answer; those applied before are skipped."""
         for event in events:
             if event.pos <= self.pos:
                 continue
@@ -83,53 +83,53 @@
         self.pos = max(self.pos, last)
 
     def run(self) -> None:
-        """Poll for ever, over one connection while it works."""
+        """Poll for ever, on the same connection as long as it works."""
         while True:
             self._address_changed.clear()
             try:
-                self._follow()
+                self._poll_until_closed()
             except POLL_ERRORS as error:
                 if self.alive and not self._address_changed.is_set():
-                    log.warning("journal poll broken off, opened anew: %s", error or type(error).__name__)
+                    log.warning("journal poll failed, reconnecting: %s", error or type(error).__name__)
                 self.alive = False
             self._address_changed.wait(RETRY_DELAY_S)
 
-    def _follow(self) -> None:
+    def _poll_until_closed(self) -> None:
         sock = self._sock = sockets.connect(self.address, CONNECT_TIMEOUT_S)
-        if self._address_changed.is_set():  # while it was being connected
+        if self._address_changed.is_set():  # during the connect
             sock.close()
             return
         try:
-            buffer, again = Buffer(), True
-            while again:
+            buffer, reusable = Buffer(), True
+            while reusable:
                 sock.settimeout(POLL_TIMEOUT_S)
                 sock.sendall(
                     f"GET /journal?tail={self.pos}&max_wait={POLL_HOLD_MS} HTTP/1.1\r\n"
                     f"Host: {self.address}\r\n\r\n".encode()
                 )
-                before, asked_us = self.pos, now_us()
-                again = self._poll(sock, buffer)
-                if again and self.pos == before and now_us() - asked_us < POLL_HOLD_MS * 500:
-                    # guards against a service that says nothing, and that at once
+                previous_pos, sent_us = self.pos, now_us()
+                reusable = self._poll(sock, buffer)
+                if reusable and self.pos == previous_pos and now_us() - sent_us < POLL_HOLD_MS * 500:
+                    # Avoids a busy loop if the service answers immediately without events.
                     self._address_changed.wait(RETRY_DELAY_S)
         finally:
             self._sock = None
             sock.close()
 
     def _poll(self, sock: sockets.Socket, buffer: Buffer) -> bool:
-        """Read one answer; whether the connection may be used again."""
+        """Read one answer; returns whether the connection may be used again."""
         answer = JournalResponse()
         parser = answer.parser
-        until = now_us() + int(POLL_TIMEOUT_S * 1e6)
+        deadline_us = now_us() + int(POLL_TIMEOUT_S * 1e6)
         while not answer.done:
-            sock.settimeout(max(0.0, (until - now_us()) / 1e6))
+            sock.settimeout(max(0.0, (deadline_us - now_us()) / 1e6))
             if buffer.fill(sock) == 0:
-                raise ConnectionError("closed by the service")
+                raise ConnectionError("connection closed by the service")
             parser.feed_data(buffer.take(len(buffer)))
-            if len(answer.body) > MAX_ANSWER_SIZE:
+            if len(answer.body) > MAX_ANSWER_BYTES:
                 raise ValueError("answer too large")
         if parser.get_status_code() != 200:
             raise ValueError(f"status {parser.get_status_code()}")
         self.apply(*journal.parse_answer(answer.body))
         self.alive = True
-        return answer.keep
+        return answer.keep_alive
