--- a/barleywheel/net/__init__.py
+++ b/barleywheel/net/__init__.py
@@ -1,1 +1,1 @@
-"""Sockets: buffers, connections, the pool of hub connections and the journal's long poll."""
+"""Networking: sockets, buffers, connections, the pool of hub connections and the journal client."""
--- a/barleywheel/net/sockets.py
+++ b/barleywheel/net/sockets.py
@@ -1,7 +1,7 @@
-"""Sockets as the parts above see them: connect, listen, datagrams. gevent's are what serves.
+"""Interface to sockets: connect, listen, datagrams. In production these are gevent's sockets.
 
-The seam is as narrow as the parts' use of sockets. ``use_network`` puts another network in the place of
-the real one (``barleywheel.virtual`` has one in memory).
+The interface covers only what this program uses. ``use_network`` replaces the real network by another
+implementation, such as the in-memory one of ``barleywheel.virtual``.
 """
 
 from __future__ import annotations
@@ -21,49 +21,49 @@
 
 
 class Socket(Protocol):
-    """A connected stream, in gevent's blocking style. Errors are OSError; a time-out is TimeoutError."""
+    """A connected TCP socket; calls block the greenlet. Errors are OSError, a time-out is TimeoutError."""
 
     def recv_into(self, buffer: memoryview) -> int:
-        """Read at least one byte into the buffer; 0 at the end."""
+        """Read at least one byte into the buffer; 0 at the end of the stream."""
 
     def send(self, data: bytes | bytearray, flags: int = 0, timeout: float | None = None) -> int:
-        """Write what fits; with a time-out of 0.0, EAGAIN where nothing does."""
+        """Write as much as the socket accepts; with a time-out of 0.0, raise EAGAIN if that is nothing."""
 
     def sendall(self, data: bytes) -> None:
-        """Write all of it."""
+        """Write all of the data."""
 
     def settimeout(self, seconds: float | None) -> None:
-        """Bound every further wait."""
+        """Limit how long each later call may block."""
 
     def close(self) -> None:
-        """Close; whoever waits on it gets an OSError."""
+        """Close the socket; calls blocked on it raise OSError."""
 
 
 class Listener(Protocol):
     """A listening socket."""
 
     def accept(self) -> tuple[Socket, Address]:
-        """Block until somebody connects; OSError when closed or out of descriptors."""
+        """Block until a peer connects; OSError if the socket is closed or no descriptor is free."""
 
     def close(self) -> None:
-        """Listen no more."""
+        """Stop listening."""
 
 
 class DatagramSocket(Protocol):
     """A bound UDP socket."""
 
-    def recvfrom(self, most: int) -> tuple[bytes, Address]:
-        """Block until a datagram comes."""
+    def recvfrom(self, max_bytes: int) -> tuple[bytes, Address]:
+        """Block until a datagram is received."""
 
     def sendto(self, data: bytes, address: Address) -> int:
-        """Send one."""
+        """Send a datagram."""
 
 
 class Network(Protocol):
-    """Where sockets come from."""
+    """Creates sockets."""
 
     def connect(self, address: Address, timeout_s: float) -> Socket:
-        """Connect over TCP; blocks until it is up, refused or timed out (OSError)."""
+        """Connect over TCP; blocks until it is established, refused or timed out (OSError)."""
 
     def listen(self, address: Address, backlog: int) -> Listener:
         """Listen on TCP."""
@@ -72,11 +72,11 @@
         """Bind a UDP socket."""
 
     def unread(self, sock: Socket) -> int:
-        """Bytes that have come on an open socket and that nobody has read yet."""
+        """Number of bytes that an open socket has received and that are not yet read."""
 
 
-def nodelay(sock: Any) -> None:
-    """No waiting for more to send: each message leaves at once."""
+def set_tcp_nodelay(sock: Any) -> None:
+    """Disable Nagle's algorithm, so that each message is sent immediately."""
     sock.setsockopt(gevent.socket.IPPROTO_TCP, gevent.socket.TCP_NODELAY, 1)
 
 
@@ -94,8 +94,8 @@
         while True:
             sock, address = self._sock.accept()
             try:
-                nodelay(sock)
-            except OSError:  # reset before it was looked at
+                set_tcp_nodelay(sock)
+            except OSError:  # the peer has already reset the connection
                 sock.close()
                 runtime.sleep(0)
                 continue
@@ -107,7 +107,7 @@
 
 
 class GeventNetwork:
-    """The real one."""
+    """The network of the operating system, through gevent."""
 
     def connect(self, address: Address, timeout_s: float) -> Socket:
         """See ``Network``."""
@@ -116,7 +116,7 @@
             sock.settimeout(timeout_s)
             sock.connect(address)
             sock.settimeout(None)
-            nodelay(sock)
+            set_tcp_nodelay(sock)
         except BaseException:
             sock.close()
             raise
@@ -137,45 +137,45 @@
         return int.from_bytes(fcntl.ioctl(sock.fileno(), termios.FIONREAD, bytes(4)), sys.byteorder)
 
 
-_real: Network = GeventNetwork()
-_in_force: Network = _real
+_gevent_network: Network = GeventNetwork()
+_active_network: Network = _gevent_network
 
 
 def parse(address: str) -> Address:
-    """Host and port of an address; ValueError where there are none."""
+    """Split an address into host and port; ValueError if it is invalid."""
     host, _, port = address.rpartition(":")
     number = int(port)
     if not host or not 0 <= number <= 65535:
-        raise ValueError(f"no address: {address!r}")
+        raise ValueError(f"invalid address: {address!r}")
     return host, number
 
 
 def connect(address: str, timeout_s: float) -> Socket:
-    """Connect over TCP with TCP_NODELAY; OSError where it can't be, ValueError where it is no address."""
-    return _in_force.connect(parse(address), timeout_s)
+    """Connect over TCP with TCP_NODELAY; OSError if that fails, ValueError if the address is invalid."""
+    return _active_network.connect(parse(address), timeout_s)
 
 
 def listen(address: str, backlog: int) -> Listener:
     """Listen on TCP."""
-    return _in_force.listen(parse(address), backlog)
+    return _active_network.listen(parse(address), backlog)
 
 
 def datagrams(address: str) -> DatagramSocket:
     """Bind a UDP socket."""
-    return _in_force.datagrams(parse(address))
+    return _active_network.datagrams(parse(address))
 
 
 def unread(sock: Socket) -> int:
-    """Bytes that have come on an open socket and that nobody has read yet."""
-    return _in_force.unread(sock)
+    """Number of bytes that an open socket has received and that are not yet read."""
+    return _active_network.unread(sock)
 
 
 @contextmanager
 def use_network(network: Network) -> Iterator[None]:
-    """Put another network in force for a while."""
-    global _in_force
-    before, _in_force = _in_force, network
+    """Use another network within the context."""
+    global _active_network
+    previous, _active_network = _active_network, network
     try:
         yield
     finally:
-        _in_force = before
+        _active_network = previous
