--- a/barleywheel/fronts/__init__.py
+++ b/barleywheel/fronts/__init__.py
@@ -1,1 +1,1 @@
-"""The ways in: each front turns its wire's messages into requests and answers."""
+"""Fronts: each accepts calls over one protocol and turns its messages into requests and answers."""
--- a/barleywheel/fronts/platform.py
+++ b/barleywheel/fronts/platform.py
@@ -1,4 +1,4 @@
-"""The platform's front: callers that speak JSON lines."""
+"""Front for the platform's callers, which speak JSON lines."""
 
 from __future__ import annotations
 
@@ -20,37 +20,39 @@
 log = logging.getLogger(__name__)
 CALL_ID_PATTERN = re.compile(r"[0-9a-fA-F]{16}\Z")
 CALLED_NUMBER_PATTERN = re.compile(r"[0-9a-fA-F]{1,16}\Z")
-RELEASE_RETENTION_US = 8_000_000  # how long a release waits for a caller's connection
-# a connection without a whole message for so long is closed: a close is owed within 3 s
+RELEASE_RETENTION_US = 8_000_000  # how long a release waits for a connection to a caller
+# A connection without a complete message must be closed within 3 s.
 FIRST_MESSAGE_TIMEOUT_US = 2_300_000
-DEADLINE_TOLERANCE_US = 1_000_000  # no caller waits longer than its class's deadline, give or take this
-INVITE_OVERHEAD = 512  # an INVITE is a description and at most so much round it
-MAX_WIDTH = 64.0  # circuits
+# A set-up whose time left exceeds its class's deadline by more is rejected: no caller waits that long.
+DEADLINE_TOLERANCE_US = 1_000_000
+INVITE_OVERHEAD_BYTES = 512  # upper bound on the size of an INVITE without its description
+MAX_WIDTH_CIRCUITS = 64.0
 
 
 class Caller:
-    """One connection from callers; the origin of the requests that came on it."""
+    """A connection from callers, and the origin of the requests received on it."""
 
     def __init__(self, front: PlatformFront, conn: Connection) -> None:
         self.front, self.conn = front, conn
-        self.refs: set[str] = set()  # set-ups open on it
-        self.has_sent_message = False  # a whole message has come on it
-        self.trust = 0  # 1: it has sent what can be used; 2: a call of it stood
-        self.established_count = 0  # calls that it has been told to stand, and not yet told to be over
+        self.refs: set[str] = set()  # call ids of its open set-ups
+        self.has_sent_message = False
+        # 0: not known to be a caller; 1: has sent a set-up or heartbeat; 2: a call of it was established.
+        self.trust_level = 0
+        self.established_count = 0  # calls reported to it as established and not yet as released
 
     def answer(self, request: Request, description: bytes) -> bool:
-        """Tell that the call stands."""
+        """Report the call as established."""
         data = jsonlines.encode("up", request.ref, description=description)
-        if len(data) > jsonlines.MAX_LINE_BYTES:  # escaped, it has grown beyond what the wire allows
+        if len(data) > jsonlines.MAX_LINE_BYTES:  # JSON escapes made it too long for the protocol
             self.reject(request, Rejection(CAUSE_TEMPORARY_FAILURE))
             return False
         self.refs.discard(request.ref)
-        self.trust, self.established_count = 2, self.established_count + 1
+        self.trust_level, self.established_count = 2, self.established_count + 1
         return self.conn.write(data)
 
     def reject(self, request: Request, rejection: Rejection) -> None:
-        """Tell that the call is refused or failed, and when to come back where the module advises it."""
-        # a repeat of an open id: the first is still open here
+        """Report the call as refused or failed, with the time to retry after if the module advises one."""
+        # If the call id repeats that of an open call, that call stays open on this connection.
         if request.ref not in self.front.call_manager.open_calls:
             self.refs.discard(request.ref)
         ms = math.ceil(rejection.retry_after_us / 1000)
@@ -58,18 +60,18 @@
         self.conn.write(jsonlines.encode("down", request.ref, advice, rejection.cause))
 
     def release(self, ref: str, cause: int) -> None:
-        """Tell that a call that stood is over."""
+        """Report the release of an established call."""
         self.established_count -= 1
         self.front.release(ref, cause, self.conn)
 
 
 class PlatformFront:
-    """Listens for callers."""
+    """Accepts callers' connections, and turns their messages into requests and releases."""
 
     def __init__(self, call_manager: CallManager, deadlines: Deadlines, max_callers: int) -> None:
         self.call_manager, self.deadlines, self.max_callers = call_manager, deadlines, max_callers
-        self.callers: OrderedDict[Caller, None] = OrderedDict()  # the one that spoke last comes last
-        self.pending_releases: dict[str, int] = {}  # releases that no connection was open for
+        self.callers: OrderedDict[Caller, None] = OrderedDict()  # in the order of their last message
+        self.pending_releases: dict[str, int] = {}  # call id to cause; no connection was open
         self.shutting_down = self.closed = False
         self._listener: sockets.Listener | None = None
 
@@ -78,7 +80,7 @@
         self._listener = sockets.listen(address, 512)
 
     def run(self) -> None:
-        """Accept until closed."""
+        """Accept connections until closed."""
         assert self._listener is not None
         while True:
             try:
@@ -86,10 +88,10 @@
             except OSError as error:
                 if self.closed:
                     return
-                log.warning("accept failed: %s", error)  # out of descriptors: some come free in time
+                log.warning("accept failed: %s", error)  # out of descriptors, which is temporary
                 runtime.sleep(0.05)
                 continue
-            if len(self.callers) >= self.max_callers and not self._make_room():
+            if len(self.callers) >= self.max_callers and not self._close_idle_connection():
                 log.warning("connection closed, too many callers: peer=%s:%d", *address)
                 sock.close()
                 continue
@@ -98,48 +100,53 @@
             self.callers[caller] = None
             runtime.spawn(self._serve, caller)
             if len(self.callers) >= self.max_callers:
-                runtime.sleep(0)  # a closed one's descriptor comes free when its reader has had a turn
+                runtime.sleep(0)  # lets the readers of closed connections free their descriptors
 
-    def _raise_trust(self, caller: Caller) -> None:
-        """It has sent what can be used: releases that found nobody go there."""
-        caller.trust = max(caller.trust, 1)
+    def _mark_as_caller(self, caller: Caller) -> None:
+        """Record that this is a caller, and send it the releases that wait for a connection."""
+        caller.trust_level = max(caller.trust_level, 1)
         for ref, cause in self.pending_releases.items():
             caller.conn.write(jsonlines.encode("down", ref, cause=cause))
         self.pending_releases.clear()
 
     def close(self) -> None:
-        """Take no further connections."""
+        """Stop accepting connections."""
         self.closed = True
         if self._listener is not None:
             self._listener.close()
 
     def close_idle(self) -> bool:
-        """Close every connection on which nothing is open or unread; True when none is left."""
+        """Close every connection without an open set-up or unread bytes; True if none is left open."""
         for caller in self._idle_connections():
             if not caller.conn.unread():
                 caller.conn.close()
         return not any(caller.conn.open for caller in self.callers)
 
     def _idle_connections(self) -> list[Caller]:
-        """Connections on which no set-up is open and nothing waits to be written or made whole."""
+        """Connections without an open set-up, queued output or an incomplete message."""
         return [
             caller
             for caller in self.callers
             if not caller.refs and caller.conn.can_write_now and not len(caller.conn.buffer)
         ]
 
-    def _make_room(self) -> bool:
-        """Close a connection on which nothing is open: one that never asked, else the one longest quiet."""
-        quiet = self._idle_connections()
-        # The silent go first, then those that sent nothing of use; last those whose calls stand, as they are
-        # told on it: the rest may go to a peer that is no caller.
-        quiet.sort(key=lambda caller: (caller.has_sent_message, caller.trust, caller.established_count > 0))
-        # Guards set-ups that have come and wait for their reader's turn: a close would lose them.
-        caller = next((caller for caller in quiet if not caller.conn.unread()), None)
+    def _close_idle_connection(self) -> bool:
+        """Close the idle connection that is least needed; False if there is none."""
+        idle = self._idle_connections()
+        # First those that sent nothing, then those that sent nothing valid, each by the time of their last
+        # message. Last those with established calls, because releases are reported on them: on another
+        # connection they might reach a peer that is not a caller.
+        idle.sort(
+            key=lambda caller: (caller.has_sent_message, caller.trust_level, caller.established_count > 0)
+        )
+        # Closing a connection with unread bytes would lose set-ups that are received but not yet handled.
+        caller = next((caller for caller in idle if not caller.conn.unread()), None)
         if caller is None:
             return False
         log.info(
-            "connection closed to make room: peer=%s asked=%s", caller.conn.peer, caller.has_sent_message
+            "idle connection closed, connection limit reached: peer=%s asked=%s",
+            caller.conn.peer,
+            caller.has_sent_message,
         )
         del self.callers[caller]
         caller.conn.close()
@@ -162,11 +169,11 @@
     def _handle_message(self, caller: Caller, message: dict[str, Any]) -> None:
         kind, ref = message["t"], message.get("ref", "")
         if kind == "hb":
-            self._raise_trust(caller)
+            self._mark_as_caller(caller)
             caller.conn.write(jsonlines.encode("hb_ok", ref, cause=0 if self.shutting_down else 1))
             return
         if not CALL_ID_PATTERN.match(ref):
-            raise Malformed("no call id")
+            raise Malformed("invalid call id")
         if kind == "new":
             request = read_request(caller, message)
             if (
@@ -176,18 +183,18 @@
                 request.time_left_us = -1
             if ref not in self.call_manager.open_calls:
                 caller.refs.add(ref)
-                self._raise_trust(caller)
+                self._mark_as_caller(caller)
             self.call_manager.accept(request)
         elif kind == "down":
             self._handle_release(caller, ref, message.get("c"))
         elif kind != "ack":
-            raise Malformed("unknown type")
+            raise Malformed("unknown message type")
 
     def _handle_release(self, caller: Caller, ref: str, cause: object) -> None:
         if self.call_manager.abandon(ref):
             caller.refs.discard(ref)
             return
-        # true is an int too
+        # type() rather than isinstance(), because JSON's true is an int too.
         number = cause if type(cause) is int and 0 < cause < 128 else CAUSE_NORMAL_CLEARING
         leg = self.call_manager.established.legs.get(ref)
         if leg is not None and isinstance(leg.origin, Caller):
@@ -199,53 +206,56 @@
             caller.conn.write(jsonlines.encode("ack", ref))
 
     def release(self, ref: str, cause: int, conn: Connection | None = None) -> None:
-        """Tell a release where the call came from, else on any connection, else on the next."""
+        """Report a release on the call's own connection, else on any caller's, else on the next one."""
         data = jsonlines.encode("down", ref, cause=cause)
-        conns = [conn] if conn is not None else []
+        connections = [conn] if conn is not None else []
         host = conn.peer.partition(":")[0] if conn is not None else ""
-        # Guards releases against peers that are no callers, and against those that left unnoticed: those
-        # whose calls stood first, the same machine among them, then those that spoke last.
+        # A peer may not be a caller, and it may have left without notice. So those that had an established
+        # call come first, then those on the call's own host, then those with the most recent message.
         others = sorted(
-            (caller for caller in reversed(self.callers) if caller.trust),
-            key=lambda caller: (-caller.trust, not caller.conn.peer.startswith(host + ":")),
+            (caller for caller in reversed(self.callers) if caller.trust_level),
+            key=lambda caller: (-caller.trust_level, not caller.conn.peer.startswith(host + ":")),
         )
-        if not any(c.write(data) for c in conns + [caller.conn for caller in others]):
+        if not any(c.write(data) for c in connections + [caller.conn for caller in others]):
             self.pending_releases[ref] = cause
             self.deadlines.schedule(
                 now_us() + RELEASE_RETENTION_US, lambda: self.pending_releases.pop(ref, None)
             )
 
 
-def _int(value: object, default: int) -> int:
+def _int_or_default(value: object, default: int) -> int:
     try:
         return int(str(value))
     except ValueError:
         return default
 
 
-def _float(value: object, default: float) -> float:
+def _float_or_default(value: object, default: float) -> float:
     try:
         return float(str(value))
     except ValueError:
         return default
 
 
-def _extras(text: object) -> dict[str, str]:
+def _parse_extras(text: object) -> dict[str, str]:
     return dict(part.split(":", 1) for part in str(text or "").split(";") if ":" in part)
 
 
 def read_request(origin: Caller, message: dict[str, Any]) -> Request:
-    """Make a request of a set-up; what can't be served shows as a deadline or destination below zero."""
+    """Build a request from a set-up; a negative time left or destination marks one that can't be served."""
     fields = message.get("f") or {}
-    extras = _extras(fields.get("extras"))
-    left_ms = _float(fields.get("left"), -1.0)
+    extras = _parse_extras(fields.get("extras"))
+    left_ms = _float_or_default(fields.get("left"), -1.0)
     number, description = str(fields.get("key", "")), jsonlines.description(message)
-    destination, source = _int(extras.get("dest"), -1), _int(extras.get("via", -1), -2)
-    width = _float(extras.get("width", 1), -1.0)
-    # Guards the hubs' wire too: a hub closes on what it can't read, with all that is open there.
-    if not CALLED_NUMBER_PATTERN.match(number) or len(description) + INVITE_OVERHEAD > sip.MAX_MESSAGE_BYTES:
+    destination, source = _int_or_default(extras.get("dest"), -1), _int_or_default(extras.get("via", -1), -2)
+    width = _float_or_default(extras.get("width", 1), -1.0)
+    # Also keeps invalid input from the hubs: a hub closes its connection on it, with every set-up there.
+    if (
+        not CALLED_NUMBER_PATTERN.match(number)
+        or len(description) + INVITE_OVERHEAD_BYTES > sip.MAX_MESSAGE_BYTES
+    ):
         number, destination = "", -1
-    if not 0 < width <= MAX_WIDTH or not -1 <= source <= 0xFFFF or destination > 0xFFFF:
+    if not 0 < width <= MAX_WIDTH_CIRCUITS or not -1 <= source <= 0xFFFF or destination > 0xFFFF:
         destination = -1
     return Request(
         ref=message["ref"],
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -95,7 +95,7 @@
             stay = harness.caller()
             stay.send("hb", "1", c=0)
             stay.receive("hb_ok", "1")
-        harness.wait_for(lambda: harness.log_text().count("make room") >= 6)
+        harness.wait_for(lambda: harness.log_text().count("idle connection closed") >= 6)
         hub.send_bye(REF, 16)
         assert caller.receive("down", REF)["c"] == 16
 
@@ -111,7 +111,7 @@
         harness.process.send_signal(signal.SIGCONT)
         for at, caller in enumerate(callers[:12]):
             assert caller.inbox.wait_and_pop(lambda m: m["ref"] == f"{at:016x}")["t"] in ("up", "down")  # noqa: B023
-        assert "make room" in harness.log_text()
+        assert "idle connection closed" in harness.log_text()
 
 
 def test_leaving_hangs_up_on_quiet_callers_and_answers_the_others(tmp_path: Path) -> None:
