--- a/barleywheel/wire/sip.py
+++ b/barleywheel/wire/sip.py
@@ -1,4 +1,4 @@
-"""The hubs' wire: SIP over TCP (RFC 3261), as much of it as calls here use."""
+"""Codec for the hubs' protocol: the part of SIP over TCP (RFC 3261) that calls need."""
 
 from __future__ import annotations
 
@@ -10,15 +10,18 @@
 
 MAX_MESSAGE_BYTES = 16 * 1024
 MAX_CSEQ = 1 << 31  # RFC 3261, 8.1.1.5
-STATUS = re.compile(r"SIP/2\.0 ([1-6]\d\d)(?: .*)?\Z")
-REQUEST = re.compile(r"([A-Z]+) (\S+) SIP/2\.0\Z")
-START = re.compile(rb"SIP/2\.0 [1-6]\d\d |[A-Z]{3,16} [^\s]{1,200} SIP/2\.0\r\n")
-INSIDE = re.compile(r"SIP/2\.0 [1-6]\d\d |[A-Z] \S+ SIP/2\.0\Z")
-OPENING = re.compile(rb"[A-Z]{1,16}(?: .*|/.*)?\Z", re.S)  # how a message may begin, cut off anywhere
-NOISE = re.compile(r"[\x00-\x08\x0b-\x1f\x7f\ufffd]")
-CAUSE = re.compile(r"cause\s*=\s*(\d{1,3})(?!\d)", re.I)
-NO_CAUSE, NORMAL_UNSPECIFIED = 16, 31
-COMPACT = {"i": "call-id", "l": "content-length", "v": "via", "s": "subject"}
+STATUS_LINE = re.compile(r"SIP/2\.0 ([1-6]\d\d)(?: .*)?\Z")
+REQUEST_LINE = re.compile(r"([A-Z]+) (\S+) SIP/2\.0\Z")
+# Start lines that show a wrong Content-Length, or a message cut off within its header.
+START_LINE_IN_BODY = re.compile(rb"SIP/2\.0 [1-6]\d\d |[A-Z]{3,16} [^\s]{1,200} SIP/2\.0\r\n")
+START_LINE_IN_HEADER = re.compile(r"SIP/2\.0 [1-6]\d\d |[A-Z] \S+ SIP/2\.0\Z")
+# The first bytes of a message, possibly incomplete.
+MESSAGE_PREFIX = re.compile(rb"[A-Z]{1,16}(?: .*|/.*)?\Z", re.S)
+INVALID_CHARACTERS = re.compile(r"[\x00-\x08\x0b-\x1f\x7f\ufffd]")
+CAUSE_PARAMETER = re.compile(r"cause\s*=\s*(\d{1,3})(?!\d)", re.I)
+CAUSE_NORMAL_CLEARING = 16
+CAUSE_NORMAL_UNSPECIFIED = 31
+COMPACT_HEADER_NAMES = {"i": "call-id", "l": "content-length", "v": "via", "s": "subject"}
 
 
 @dataclass(slots=True)
@@ -32,12 +35,12 @@
 
     @property
     def call_id(self) -> str:
-        """The call that it belongs to."""
+        """The Call-ID header; empty if missing."""
         return self.headers.get("call-id", "")
 
     @property
     def cseq(self) -> tuple[int, str]:
-        """Number and method; a missing or strange one is (0, '')."""
+        """Number and method of the CSeq header; (0, '') if it is missing or invalid."""
         number, _, method = self.headers.get("cseq", "").partition(" ")
         if not (number.isascii() and number.isdigit() and len(number) <= 10 and int(number) < MAX_CSEQ):
             return 0, ""
@@ -45,16 +48,16 @@
 
     @property
     def cause(self) -> int:
-        """The Q.850 cause of the Reason header; 16 without one, 31 where it is none of Q.850's."""
+        """The Q.850 cause of the Reason header; 16 without the header, 31 if it has no valid cause."""
         reason = self.headers.get("reason")
         if reason is None:
-            return NO_CAUSE
-        found = CAUSE.search(reason)
-        return int(found[1]) if found and 0 < int(found[1]) < 128 else NORMAL_UNSPECIFIED
+            return CAUSE_NORMAL_CLEARING
+        found = CAUSE_PARAMETER.search(reason)
+        return int(found[1]) if found and 0 < int(found[1]) < 128 else CAUSE_NORMAL_UNSPECIFIED
 
     @property
     def load(self) -> dict[str, float]:
-        """The report in X-State; what is no number is left out."""
+        """The load report in X-State; values that are not numbers are skipped."""
         values = {}
         for part in self.headers.get("x-state", "").split(";"):
             name, _, text = part.partition(":")
@@ -66,10 +69,10 @@
 
 
 def parse_next(buffer: Buffer) -> Message | None:
-    """Take the next message off the buffer; None until it is whole."""
+    """Take the next message from the buffer; None while it is incomplete."""
     while buffer.peek(2) == b"\r\n":  # keep-alive between messages
         buffer.take(2)
-    if buffer.parsed_head is None:  # the head is read once, however slowly the body comes
+    if buffer.parsed_head is None:  # parse the head only once, however slowly the body is received
         end = buffer.find(b"\r\n\r\n")
         if end > MAX_MESSAGE_BYTES or end < 0 and len(buffer) > MAX_MESSAGE_BYTES:
             raise Malformed("message over 16 KiB")
@@ -78,7 +81,7 @@
         message = parse_head(buffer.peek(end))
         length = message.headers.get("content-length", "")
         if not (length.isascii() and length.isdigit() and len(length) < 10):
-            raise Malformed("bad Content-Length")
+            raise Malformed("invalid Content-Length")
         size = end + 4 + int(length)
         if size > MAX_MESSAGE_BYTES:
             raise Malformed("message over 16 KiB")
@@ -87,44 +90,44 @@
     if len(buffer) < size:
         return None
     message.body = buffer.take(size)[end + 4 :]
-    # A length that does not fit shows in what follows, or in a body that has taken in the next message.
+    # A wrong length shows in the bytes that follow, or in a body that contains the start of the next message.
     if (
-        START.search(message.body)
+        START_LINE_IN_BODY.search(message.body)
         or (rest := buffer.peek(24))
-        and not (rest.startswith(b"\r") or OPENING.match(rest))
+        and not (rest.startswith(b"\r") or MESSAGE_PREFIX.match(rest))
     ):
-        raise Malformed("Content-Length does not fit")
+        raise Malformed("Content-Length does not match the message")
     return message
 
 
 def parse_head(data: bytes) -> Message:
-    """Read the first line and the headers."""
+    """Parse the start line and the headers."""
     text = re.sub(r"\r\n[ \t]+", " ", data.decode("utf-8", "replace"))
     lines = text.split("\r\n")
-    if NOISE.search(text.replace("\r\n", "")):
-        raise Malformed("noise in a header")
+    if INVALID_CHARACTERS.search(text.replace("\r\n", "")):
+        raise Malformed("invalid characters in a header")
     message = Message()
-    if found := STATUS.match(lines[0]):
+    if found := STATUS_LINE.match(lines[0]):
         message.status = int(found[1])
-    elif found := REQUEST.match(lines[0]):
+    elif found := REQUEST_LINE.match(lines[0]):
         message.method = found[1]
     else:
-        raise Malformed("no SIP first line")
+        raise Malformed("no SIP start line")
     for line in lines[1:]:
-        if INSIDE.search(line):
-            raise Malformed("a message within a head")  # the one before it stopped short
+        if START_LINE_IN_HEADER.search(line):
+            raise Malformed("start line within a header")  # the previous message was cut off
         name, colon, value = line.partition(":")
         if not colon:
             raise Malformed("header without a colon")
         name = name.strip().lower()
-        message.headers.setdefault(COMPACT.get(name, name), value.strip())
+        message.headers.setdefault(COMPACT_HEADER_NAMES.get(name, name), value.strip())
     if message.status and not (message.call_id and message.cseq[1]):
-        raise Malformed("answer without Call-ID or CSeq")
+        raise Malformed("response without Call-ID or CSeq")
     return message
 
 
 def request(
-    method: str, uri: str, call_id: str, cseq: int, more: tuple[str, ...] = (), body: bytes = b""
+    method: str, uri: str, call_id: str, cseq: int, extra_headers: tuple[str, ...] = (), body: bytes = b""
 ) -> bytes:
     """Encode a request."""
     lines = (
@@ -132,7 +135,7 @@
         "Via: SIP/2.0/TCP peer",
         f"Call-ID: {call_id}",
         f"CSeq: {cseq} {method}",
-        *more,
+        *extra_headers,
         f"Content-Length: {len(body)}",
         "",
         "",
@@ -141,7 +144,7 @@
 
 
 def invite(call_id: str, cseq: int, number: str, class_name: str, patience_ms: int, body: bytes) -> bytes:
-    """Encode a set-up."""
+    """Encode an INVITE."""
     return request(
         "INVITE",
         f"sip:{number}@net",
@@ -153,15 +156,15 @@
 
 
 def bye(call_id: str, cseq: int, number: str, cause: int) -> bytes:
-    """Encode a release."""
+    """Encode a BYE."""
     return request("BYE", f"sip:{number}@net", call_id, cseq, (f"Reason: Q.850;cause={cause}",))
 
 
 def response(status: int, reason: str, to: Message) -> bytes:
-    """Encode an answer to a request of the other side."""
-    echoed = [
+    """Encode a response to a request of the peer."""
+    echoed_headers = [
         f"{name}: {to.headers[key]}"
         for name, key in (("Via", "via"), ("Call-ID", "call-id"), ("CSeq", "cseq"))
         if key in to.headers
     ]
-    return "\r\n".join([f"SIP/2.0 {status} {reason}", *echoed, "Content-Length: 0", "", ""]).encode()
+    return "\r\n".join([f"SIP/2.0 {status} {reason}", *echoed_headers, "Content-Length: 0", "", ""]).encode()
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -199,7 +199,7 @@
         sent = invite(hub)
         sent.sock.sendall(b"SIP/2.0 200 OK\r\nCall-ID: 9b1f")
         if not hub.ignores_options:
-            harness.wait_for(lambda: "a message within a head" in harness.log_text())
+            harness.wait_for(lambda: "start line within a header" in harness.log_text())
         harness.wait_for(lambda: "hub connection lost" in harness.log_text())
         caller.send_new(OTHER)
         again = invite(hub, OTHER)
