--- a/barleywheel/wire/jsonlines.py
+++ b/barleywheel/wire/jsonlines.py
@@ -1,4 +1,4 @@
-"""The callers' wire: one JSON object a line."""
+"""Codec for the callers' protocol: one JSON object per line."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def parse_next(buffer: Buffer) -> dict[str, Any] | None:
-    """Take the next message off the buffer; None until it is whole."""
+    """Take the next message from the buffer; None while it is incomplete."""
     end = buffer.find(b"\n")
     if end > MAX_LINE_BYTES or end < 0 and len(buffer) > MAX_LINE_BYTES:
         raise Malformed("line over 16 KiB")
@@ -22,16 +22,16 @@
     if not line.strip():
         return parse_next(buffer)
     try:
-        # surrogateescape: whatever bytes a description has go through unchanged
+        # surrogateescape passes the bytes of a description through unchanged, UTF-8 or not.
         message = json.loads(line.decode("utf-8", "surrogateescape"))
     except (ValueError, RecursionError) as error:
-        raise Malformed(f"no JSON: {error}") from error
+        raise Malformed(f"invalid JSON: {error}") from error
     if not isinstance(message, dict) or not isinstance(message.get("t"), str):
-        raise Malformed("no message with a type")
+        raise Malformed("not an object with a message type")
     if not isinstance(message.get("ref", ""), str) or not isinstance(message.get("f") or {}, dict):
-        raise Malformed("id or fields of a wrong kind")
+        raise Malformed("id or fields of the wrong type")
     if not isinstance(message.get("d", ""), str):
-        raise Malformed("description of a wrong kind")
+        raise Malformed("description of the wrong type")
     return message
 
 
@@ -42,7 +42,7 @@
     cause: int | None = None,
     description: bytes | None = None,
 ) -> bytes:
-    """One line."""
+    """Encode a message as one line."""
     message: dict[str, Any] = {"t": kind, "ref": ref, "f": fields or {}}
     if cause is not None:
         message["c"] = cause
@@ -53,9 +53,9 @@
 
 
 def description(message: dict[str, Any]) -> bytes:
-    """The bytes of a message's description."""
+    """Return the description of a message as bytes."""
     text: str = message.get("d", "")
-    # A lone surrogate that JSON spelled out stands for no byte; it is passed on in its own encoding.
+    # A lone surrogate from a JSON escape represents no byte; it is encoded as the surrogate itself.
     try:
         return text.encode("utf-8", "surrogateescape")
     except UnicodeEncodeError:
