--- a/barleywheel/wire/journal.py
+++ b/barleywheel/wire/journal.py
@@ -1,4 +1,4 @@
-"""The journal's answers: numbered events with hubs in them, checked whole before any of them is used."""
+"""Codec for the journal's answers: numbered events that list hubs; one invalid part rejects the answer."""
 
 from __future__ import annotations
 
@@ -8,15 +8,16 @@
 
 from barleywheel.wire import Malformed
 
-MAX_EVENTS, MAX_ENDPOINTS = 10_000, 10_000  # of one answer, and of one event
+MAX_EVENTS = 10_000  # per answer
+MAX_ENDPOINTS = 10_000  # per event
 MAX_NAME_LENGTH = 256
-MAX_NUMBER = 1 << 53  # what JSON carries exactly
+MAX_EXACT_INTEGER = 1 << 53  # larger numbers lose precision as JSON numbers
 MAX_CELL = 0xFFFF
 
 
 @dataclass(slots=True)
 class Endpoint:
-    """A hub as an event tells it; an address of None changes nothing that is known."""
+    """A hub as an event describes it; with an address of None its known address stays."""
 
     name: str
     cell: int
@@ -30,7 +31,7 @@
 
 @dataclass(slots=True)
 class Event:
-    """One event: the whole list, or what has changed in it."""
+    """A journal event: a snapshot of the hub list, or the hubs that have changed."""
 
     pos: int
     is_snapshot: bool
@@ -38,63 +39,67 @@
 
 
 def parse_answer(body: bytes) -> tuple[int, list[Event]]:
-    """The last number and the events of an answer; Malformed where any part of it can't be used."""
+    """Return the last event number and the events of an answer; Malformed if any part is invalid."""
     try:
         raw = json.loads(body)
     except (ValueError, RecursionError) as error:
-        raise Malformed(f"no JSON: {type(error).__name__}") from error
+        raise Malformed(f"invalid JSON: {type(error).__name__}") from error
     return parse_events(raw)
 
 
 def parse_events(raw: object) -> tuple[int, list[Event]]:
-    """The same of parsed JSON, as ``known`` in the configuration has it."""
+    """Like ``parse_answer`` for decoded JSON, such as ``known`` in the configuration."""
     if not isinstance(raw, dict):
-        raise Malformed("an answer that is no object")
+        raise Malformed("answer is not an object")
     entries = raw.get("entries") or []
     if not isinstance(entries, list) or len(entries) > MAX_EVENTS:
-        raise Malformed("entries are no list, or too many")
-    found = [event for entry in entries if (event := _event(entry)) is not None]
-    last = max((event.pos for event in found), default=0)
-    return _number(raw.get("pos", last), "pos"), found
+        raise Malformed("entries are not a list, or too many")
+    events = [event for entry in entries if (event := _parse_event(entry)) is not None]
+    last = max((event.pos for event in events), default=0)
+    return _parse_number(raw.get("pos", last), "pos"), events
 
 
-def _event(entry: Any) -> Event | None:
+def _parse_event(entry: Any) -> Event | None:
     if not isinstance(entry, dict):
-        raise Malformed("an event that is no object")
-    pos, hosts = _number(entry.get("pos", 0), "pos"), entry.get("hosts")
+        raise Malformed("event is not an object")
+    pos, hosts = _parse_number(entry.get("pos", 0), "pos"), entry.get("hosts")
     if not isinstance(hosts, dict):
-        return Event(pos, False, [])  # of another kind: its number counts
+        return Event(pos, False, [])  # another kind of event: only its number is used
     endpoints = hosts.get("endpoints") or []
     if not isinstance(endpoints, list) or len(endpoints) > MAX_ENDPOINTS:
-        raise Malformed("endpoints are no list, or too many")
-    return Event(pos, bool(hosts.get("snapshot")), [_endpoint(one) for one in endpoints])
+        raise Malformed("endpoints are not a list, or too many")
+    return Event(pos, bool(hosts.get("snapshot")), [_parse_endpoint(raw) for raw in endpoints])
 
 
-def _endpoint(one: Any) -> Endpoint:
+def _parse_endpoint(raw: Any) -> Endpoint:
     if (
-        not isinstance(one, dict)
-        or not isinstance(one.get("name"), str)
-        or not (0 < len(one["name"]) <= MAX_NAME_LENGTH)
+        not isinstance(raw, dict)
+        or not isinstance(raw.get("name"), str)
+        or not (0 < len(raw["name"]) <= MAX_NAME_LENGTH)
     ):
-        raise Malformed("an endpoint without a name")
-    address = one.get("address")
+        raise Malformed("endpoint without a valid name")
+    address = raw.get("address")
     if address is not None and not _is_address(address):
-        raise Malformed(f"no address: {str(address)[:80]!r}")
-    weight = one.get("weight", 1.0)
-    if isinstance(weight, bool) or not isinstance(weight, int | float) or not 0 <= weight <= MAX_NUMBER:
-        raise Malformed("weight")
-    cell = _number(one.get("group") or 0, "group")
+        raise Malformed(f"invalid address: {str(address)[:80]!r}")
+    weight = raw.get("weight", 1.0)
+    if (
+        isinstance(weight, bool)
+        or not isinstance(weight, int | float)
+        or not 0 <= weight <= MAX_EXACT_INTEGER
+    ):
+        raise Malformed("invalid weight")
+    cell = _parse_number(raw.get("group") or 0, "group")
     if cell > MAX_CELL:
-        raise Malformed("group")
+        raise Malformed("invalid group")
     return Endpoint(
-        one["name"],
+        raw["name"],
         cell,
-        str(one.get("status")),
+        str(raw.get("status")),
         address,
-        str(one.get("zone", "")),
-        str(one.get("type", "")),
+        str(raw.get("zone", "")),
+        str(raw.get("type", "")),
         float(weight),
-        _number(one.get("since_ms") or 0, "since_ms"),
+        _parse_number(raw.get("since_ms") or 0, "since_ms"),
     )
 
 
@@ -105,8 +110,8 @@
     return bool(host) and port.isascii() and port.isdigit() and len(port) <= 5 and int(port) <= 65535
 
 
-def _number(value: object, what: str) -> int:
-    """A whole number from 0; a float that is one will do, and a bool is none."""
-    if isinstance(value, bool) or not isinstance(value, int | float) or not 0 <= value <= MAX_NUMBER:
-        raise Malformed(f"{what} is no number: {str(value)[:40]!r}")
+def _parse_number(value: object, what: str) -> int:
+    """Return a number from 0 as an int, floats truncated; Malformed for anything else, a bool included."""
+    if isinstance(value, bool) or not isinstance(value, int | float) or not 0 <= value <= MAX_EXACT_INTEGER:
+        raise Malformed(f"{what} is not a valid number: {str(value)[:40]!r}")
     return int(value)
