--- a/barleywheel/wire/__init__.py
+++ b/barleywheel/wire/__init__.py
@@ -1,5 +1,5 @@
-"""Codecs only: bytes to messages and back, no sockets and no state of calls."""
+"""Codecs: bytes to messages and back, without sockets or call state."""
 
 
 class Malformed(Exception):
-    """What a peer sent is no message of its protocol."""
+    """A peer sent something that is not a valid message of its protocol."""
