--- a/tests/network_harness.py
+++ b/tests/network_harness.py
@@ -73,7 +73,7 @@
     """A SIP message as a hub hears it."""
 
     def __init__(self, hub: Hub, sock: socket.socket, head: str, body: bytes) -> None:
-        self.hub, self.sock, self.body, self.at = hub, sock, body, time.time()
+        self.hub, self.sock, self.body, self.received_at = hub, sock, body, time.time()
         self.start_line, *rest = head.split("\r\n")
         self.headers = dict(line.split(": ", 1) for line in rest)
         self.method, self.ref = self.start_line.split()[0], self.headers["Call-ID"]
--- a/tests/test_m3ua.py
+++ b/tests/test_m3ua.py
@@ -384,7 +384,7 @@
         step = message.body.split(b":")[1]
         direct = message.hub.cell == 1
         time.sleep(0.02)  # long enough for a second attempt to overlap, if there were one
-        self.out.setdefault(message.ref, []).append((message.at, time.time()))
+        self.out.setdefault(message.ref, []).append((message.received_at, time.time()))
         if step == b"crank" and direct:
             self.cranked.append(message.ref)
             message.answer(503, X_Note="congestion")
@@ -453,7 +453,7 @@
         assert both(8, "stand") == ("up", 0, b"made for stand")
         assert both(9, "full") == ("down", 42, b"")
 
-        late = [m for m in invites(drained) if m.at > max(told + 0.25, known)]
+        late = [m for m in invites(drained) if m.received_at > max(told + 0.25, known)]
         assert not late, "set-ups to the draining hub"
         for ref, spans in script.out.items():
             assert all(end <= begin for (_, end), (begin, _) in zip(spans, spans[1:], strict=False)), ref
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -331,7 +331,7 @@
         caller = harness.caller()
         caller.send_new(REF)
         early, sent = invite(first), invite(second)
-        assert early.at <= sent.at
+        assert early.received_at <= sent.received_at
         early.answer(200, b"late")  # of the attempt that has ended
         other(first, "BYE")
         assert not caller.inbox
