--- a/tests/network_harness.py
+++ b/tests/network_harness.py
@@ -1,4 +1,4 @@
-"""Stand-ins round the real program: callers, hubs and the journal service, in plain threads."""
+"""The real program with simulated callers, hubs and journal service, each in threads of this process."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from typing import Any, BinaryIO, TypeVar
 
 ROOT = Path(__file__).parent.parent
-WAIT_TIMEOUT_S = 20.0  # seconds that a condition is waited for; no test needs so long unless it fails
+WAIT_TIMEOUT_S = 20.0  # only a failing test waits this long
 M = TypeVar("M")
 DESCRIPTION = b"9d41c07a5be2f318\r\nc=IN IP4 10.4.7.9\r\n\xff\xfe\r\n"
 SETTINGS: dict[str, Any] = {
@@ -36,7 +36,7 @@
 
 
 class Inbox(list[M]):
-    """What a stand-in has heard; anyone may wait for something in it."""
+    """Messages that a simulated peer has received; a test can wait for one of them."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -47,18 +47,18 @@
             self.append(item)
             self.changed.notify_all()
 
-    def wait_and_pop(self, fits: Callable[[M], bool], timeout_s: float = WAIT_TIMEOUT_S) -> M:
-        """Remove and return the first item that fits, waiting for it."""
+    def wait_and_pop(self, matches: Callable[[M], bool], timeout_s: float = WAIT_TIMEOUT_S) -> M:
+        """Wait for the first item that matches, remove and return it."""
         with self.changed:
-            if not self.changed.wait_for(lambda: any(map(fits, self)), timeout_s):
-                raise AssertionError(f"not heard; there is {list(self)}")
-            found = next(filter(fits, self))
-            self.remove(found)
-            return found
+            if not self.changed.wait_for(lambda: any(map(matches, self)), timeout_s):
+                raise AssertionError(f"no matching item received; the others: {list(self)}")
+            match = next(filter(matches, self))
+            self.remove(match)
+            return match
 
 
 def read_head(file: BinaryIO) -> str:
-    """The lines before an empty one; nothing at the end, where readline would go on for ever."""
+    """Read the lines up to an empty one; "" at the end of the stream, where readline returns b"" for ever."""
     text = b""
     while (line := file.readline()) not in (b"", b"\r\n"):
         text += line
@@ -70,7 +70,7 @@
 
 
 class SipMessage:
-    """A SIP message as a hub hears it."""
+    """A SIP message received by a hub."""
 
     def __init__(self, hub: Hub, sock: socket.socket, head: str, body: bytes) -> None:
         self.hub, self.sock, self.body, self.received_at = hub, sock, body, time.time()
@@ -82,14 +82,14 @@
         return f"<{self.start_line} {self.ref} {self.headers['CSeq']}>"
 
     def answer(self, status: int, body: bytes = b"", **headers: str) -> None:
-        more = "".join(f"{name.replace('_', '-')}: {value}\r\n" for name, value in headers.items())
+        extra_headers = "".join(f"{name.replace('_', '-')}: {value}\r\n" for name, value in headers.items())
         echo = "".join(f"{name}: {self.headers[name]}\r\n" for name in ("Via", "Call-ID", "CSeq"))
-        head = f"SIP/2.0 {status} X\r\n{echo}{more}Content-Length: {len(body)}\r\n\r\n"
+        head = f"SIP/2.0 {status} X\r\n{echo}{extra_headers}Content-Length: {len(body)}\r\n\r\n"
         self.sock.sendall(head.encode() + body)
 
 
 class Hub:
-    """A build hub. Group state comes first on a connection; set-ups go to ``on_invite`` and to the inbox."""
+    """A build hub. It sends its group state first; INVITEs go to the inbox and to ``on_invite``."""
 
     def __init__(
         self, name: str, cell: int, on_invite: Callable[[SipMessage], object] | None = None, free: int = 20
@@ -97,8 +97,8 @@
         self.name, self.cell, self.on_invite, self.free = name, cell, on_invite, free
         self.inbox: Inbox[SipMessage] = Inbox()
         self.conns: list[socket.socket] = []
-        self.ignores_options = False  # passes no test
-        # A connection to it is opened early; not if another carrier reaches its exchange.
+        self.ignores_options = False  # sends no answer to OPTIONS pings
+        # Whether a connection is opened before the first call: not if another carrier reaches its exchange.
         self.expects_early_connection = True
         self.listen(0)
 
@@ -117,12 +117,14 @@
             self.send_request(sock, "NOTIFY sip:group@net", "x", f"X-State: x0:{self.free};x1:20\r\n")
             start_thread(self._read, sock)
 
-    def send_request(self, sock: socket.socket, first: str, ref: str, more: str = "") -> None:
-        """Send a request of the hub's own."""
-        method = first.split()[0]
+    def send_request(
+        self, sock: socket.socket, method_and_uri: str, ref: str, extra_headers: str = ""
+    ) -> None:
+        """Send a request from the hub."""
+        method = method_and_uri.split()[0]
         sock.sendall(
-            f"{first} SIP/2.0\r\nVia: SIP/2.0/TCP hub\r\nCall-ID: {ref}\r\n"
-            f"CSeq: 7 {method}\r\n{more}Content-Length: 0\r\n\r\n".encode()
+            f"{method_and_uri} SIP/2.0\r\nVia: SIP/2.0/TCP hub\r\nCall-ID: {ref}\r\n"
+            f"CSeq: 7 {method}\r\n{extra_headers}Content-Length: 0\r\n\r\n".encode()
         )
 
     def send_bye(self, ref: str, cause: int) -> None:
@@ -140,20 +142,20 @@
                     self.on_invite(message)
 
     def vanish(self) -> None:
-        """Fall silent as a machine that is cut off: connections stay open, and new ones never come up."""
+        """Become unreachable: open connections stay open but silent, and new connects time out."""
         self.listener.shutdown(socket.SHUT_RDWR)
         self.listener.close()
         self.listener = socket.create_server(("127.0.0.1", self.port), backlog=0)
-        self.waiting = []  # nobody accepts, so the backlog is full after a few of these
+        self.pending_connects = []  # fill the backlog, as nothing accepts connections any more
         for _ in range(4):
-            self.waiting.append(socket.socket())
-            self.waiting[-1].setblocking(False)
+            self.pending_connects.append(socket.socket())
+            self.pending_connects[-1].setblocking(False)
             with suppress(BlockingIOError):
-                self.waiting[-1].connect(("127.0.0.1", self.port))
+                self.pending_connects[-1].connect(("127.0.0.1", self.port))
 
     def kill(self) -> None:
-        """Die as a process does: nothing listens and every connection ends."""
-        self.listener.shutdown(socket.SHUT_RDWR)  # else the thread in accept would keep it open
+        """End like a killed process: connects are refused and every connection is closed."""
+        self.listener.shutdown(socket.SHUT_RDWR)  # otherwise the thread in accept keeps it open
         self.listener.close()
         for sock in self.conns:
             sock.shutdown(socket.SHUT_RDWR)
@@ -161,7 +163,7 @@
 
 
 class Journal:
-    """The journal service: long poll over HTTP/1.1. ``stall`` holds every answer back."""
+    """The journal service: long poll over HTTP/1.1. While ``stall`` is set it answers no poll."""
 
     def __init__(self) -> None:
         self.entries: list[dict[str, Any]] = []
@@ -205,9 +207,9 @@
     def _serve(self, sock: socket.socket) -> None:
         with sock.makefile("rb") as file, suppress(OSError):
             while head := read_head(file):
-                found = re.match(r"GET /journal\?tail=(\d+)&max_wait=(\d+) HTTP/1.1", head)
-                assert found, head
-                tail, wait = int(found[1]), int(found[2])
+                match = re.match(r"GET /journal\?tail=(\d+)&max_wait=(\d+) HTTP/1.1", head)
+                assert match, head
+                tail, wait = int(match[1]), int(match[2])
                 self.polls.add(tail)
                 if self.stall:
                     continue
@@ -218,7 +220,7 @@
 
 
 class Caller:
-    """A connection from callers."""
+    """A caller's connection to the program."""
 
     def __init__(self, address: tuple[str, int]) -> None:
         self.sock = socket.create_connection(address)
@@ -232,8 +234,8 @@
                 self.inbox.add(json.loads(line.decode("utf-8", "surrogateescape")))
         self.closed.set()
 
-    def send(self, kind: str, ref: str, **more: Any) -> None:
-        text = json.dumps({"t": kind, "ref": ref, "f": {}} | more, ensure_ascii=False)
+    def send(self, kind: str, ref: str, **members: Any) -> None:
+        text = json.dumps({"t": kind, "ref": ref, "f": {}} | members, ensure_ascii=False)
         self.sock.sendall(text.encode("utf-8", "surrogateescape") + b"\n")
 
     def send_new(self, ref: str, to: int = 1, body: bytes = DESCRIPTION, **changes: str) -> None:
@@ -245,7 +247,7 @@
 
 
 class NetworkHarness:
-    """The program among its stand-ins."""
+    """The program as a subprocess, with its simulated peers."""
 
     def __init__(
         self, tmp: Path, hubs: list[Hub], args: tuple[str, ...] = (), sockets: int = 256, **changes: Any
@@ -281,7 +283,7 @@
         )
         self.wait_for(lambda: "serving:" in self.log_text() or self.process.poll() is not None)
         assert self.process.poll() is None, self.log_text()
-        for hub in self.hubs:  # its first connection is opened early, so that circuits are known
+        for hub in self.hubs:  # the first connection carries the group state, which routing needs
             if hub.cell and hub.expects_early_connection and hub.listener.fileno() >= 0:
                 self.wait_for(partial(bool, hub.conns))
 
@@ -289,9 +291,9 @@
         return (self.tmp / "log").read_text()
 
     def wait_for(self, condition: Callable[[], object]) -> None:
-        until = time.monotonic() + WAIT_TIMEOUT_S
+        deadline = time.monotonic() + WAIT_TIMEOUT_S
         while not condition():
-            assert time.monotonic() < until, self.log_text()
+            assert time.monotonic() < deadline, self.log_text()
             time.sleep(0.01)
 
     def caller(self) -> Caller:
@@ -314,5 +316,5 @@
 
 
 def answer_call(message: SipMessage) -> None:
-    """A hub's answer: the call stands, with the description that came."""
+    """Answer an INVITE with 200 and its own description: the call is established."""
     message.answer(200, message.body, X_State="x0:12;x1:20;queue:3")
