--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -1,4 +1,4 @@
-"""The real program, spoken to as callers, hubs and the journal service would."""
+"""The real program between simulated callers, hubs and a journal service."""
 
 from __future__ import annotations
 
@@ -29,26 +29,26 @@
 )
 
 REF = "9b1f03aa5c7e2d41"
-OTHER = "9b1f03aa5c7e2d42"
+OTHER_REF = "9b1f03aa5c7e2d42"
 
 
-def silent(_: SipMessage) -> None:
-    """A hub that takes a set-up and says nothing."""
+def never_answer(_: SipMessage) -> None:
+    """Behaviour of a hub that accepts an INVITE and sends no response."""
 
 
-def refuses(status: int, note: str = "") -> Any:
+def refuse_with(status: int, note: str = "") -> Any:
     return lambda message: message.answer(status, X_Note=note)
 
 
-def invite(hub: Hub, ref: str = REF) -> SipMessage:
+def wait_for_invite(hub: Hub, ref: str = REF) -> SipMessage:
     return hub.inbox.wait_and_pop(lambda m: (m.method, m.ref) == ("INVITE", ref))
 
 
-def other(hub: Hub, method: str, ref: str = REF) -> SipMessage:
+def wait_for_message(hub: Hub, method: str, ref: str = REF) -> SipMessage:
     return hub.inbox.wait_and_pop(lambda m: (m.method, m.ref) == (method, ref))
 
 
-def test_a_call_stands_and_its_release_comes_back(tmp_path: Path) -> None:
+def test_a_call_is_established_and_the_hubs_release_reaches_the_caller(tmp_path: Path) -> None:
     hub = Hub("h1", 1, answer_call)
     with running_network(tmp_path, Hub("h0", 0), hub) as harness:
         caller = harness.caller()
@@ -57,54 +57,54 @@
         caller.send_new(REF)
         answer = caller.receive("up", REF)
         assert answer["d"].encode("utf-8", "surrogateescape") == DESCRIPTION
-        sent = invite(hub)
+        sent = wait_for_invite(hub)
         assert sent.body == DESCRIPTION and sent.start_line.startswith("INVITE sip:7f3a@net ")
         assert sent.headers["Subject"] == "voice" and 0 < int(sent.headers["X-Patience"]) <= 1200
-        other(hub, "ACK")
+        wait_for_message(hub, "ACK")
         hub.send_bye(REF, 41)
         assert caller.receive("down", REF)["c"] == 41
 
 
-def test_callers_who_stay_make_room_for_those_who_come(tmp_path: Path) -> None:
-    """Half of 48 descriptors are for callers; many ask once and keep their connection for good."""
+def test_idle_connections_are_closed_at_the_connection_limit(tmp_path: Path) -> None:
+    """Callers that keep an idle connection open must not use up the limit (half of 48 descriptors)."""
     hub = Hub("h1", 1, answer_call)
     with running_network(tmp_path, hub, sockets=48) as harness:
         working = harness.caller()
-        stay = []
+        idle = []
         for _ in range(30):
-            stay.append(harness.caller())
-            stay[-1].send("hb", "1", c=0)
-            stay[-1].receive("hb_ok", "1")
+            idle.append(harness.caller())
+            idle[-1].send("hb", "1", c=0)
+            idle[-1].receive("hb_ok", "1")
             working.send("hb", "1", c=0)
             working.receive("hb_ok", "1")
-        stay[-1].send_new(REF)
-        stay[-1].receive("up", REF)
-        working.send_new(OTHER)
-        working.receive("up", OTHER)
-        assert stay[0].closed.wait(WAIT_TIMEOUT_S) and not stay[-2].closed.is_set()
+        idle[-1].send_new(REF)
+        idle[-1].receive("up", REF)
+        working.send_new(OTHER_REF)
+        working.receive("up", OTHER_REF)
+        assert idle[0].closed.wait(WAIT_TIMEOUT_S) and not idle[-2].closed.is_set()
 
 
-def test_connections_with_standing_calls_are_closed_last(tmp_path: Path) -> None:
-    """Their callers are told on them; whoever else is connected may be no caller."""
+def test_connections_with_established_calls_are_closed_last(tmp_path: Path) -> None:
+    """Releases are reported on them; a peer on another connection may not be a caller."""
     hub = Hub("h1", 1, answer_call)
     with running_network(tmp_path, hub, sockets=48) as harness:
         caller = harness.caller()
         caller.send_new(REF)
         caller.receive("up", REF)
         for _ in range(30):
-            stay = harness.caller()
-            stay.send("hb", "1", c=0)
-            stay.receive("hb_ok", "1")
+            idle = harness.caller()
+            idle.send("hb", "1", c=0)
+            idle.receive("hb_ok", "1")
         harness.wait_for(lambda: harness.log_text().count("idle connection closed") >= 6)
         hub.send_bye(REF, 16)
         assert caller.receive("down", REF)["c"] == 16
 
 
-def test_no_connection_with_unread_bytes_is_closed_to_make_room(tmp_path: Path) -> None:
-    """What was just accepted may hold a set-up that its reader has had no turn for."""
+def test_no_connection_with_unread_bytes_is_closed_at_the_connection_limit(tmp_path: Path) -> None:
+    """A connection just accepted may hold a set-up that its reader has not read yet."""
     hub = Hub("h1", 1, answer_call)
     with running_network(tmp_path, hub, sockets=48) as harness:
-        harness.process.send_signal(signal.SIGSTOP)  # so that connections and set-ups come in one turn
+        harness.process.send_signal(signal.SIGSTOP)  # so that connects and set-ups are all pending at once
         callers = [harness.caller() for _ in range(40)]
         for at, caller in enumerate(callers[:12]):
             caller.send_new(f"{at:016x}")
@@ -114,19 +114,19 @@
         assert "idle connection closed" in harness.log_text()
 
 
-def test_leaving_hangs_up_on_quiet_callers_and_answers_the_others(tmp_path: Path) -> None:
-    """A set-up on a connection left open is taken as the process goes, and never answered."""
-    hub = Hub("h1", 1, silent)
+def test_shutdown_closes_idle_connections_and_answers_open_set_ups(tmp_path: Path) -> None:
+    """If idle connections stayed open, a set-up received on one just before the exit would get no answer."""
+    hub = Hub("h1", 1, never_answer)
     with running_network(tmp_path, hub) as harness:
-        quiet, busy = harness.caller(), harness.caller()
-        quiet.send("hb", "1", c=0)
-        quiet.receive("hb_ok", "1")
+        idle, busy = harness.caller(), harness.caller()
+        idle.send("hb", "1", c=0)
+        idle.receive("hb_ok", "1")
         busy.send_new(REF)
-        sent = invite(hub)
+        sent = wait_for_invite(hub)
         harness.process.send_signal(signal.SIGTERM)
-        assert quiet.closed.wait(WAIT_TIMEOUT_S) and not busy.closed.is_set()
+        assert idle.closed.wait(WAIT_TIMEOUT_S) and not busy.closed.is_set()
         sent.answer(200, DESCRIPTION)
-        # Its aim may be over.
+        # The attempt may have timed out before this answer.
         assert busy.inbox.wait_and_pop(lambda m: m["ref"] == REF)["t"] in (
             "up",
             "down",
@@ -137,96 +137,96 @@
 
 
 @pytest.mark.parametrize("start", [b"", b'{"t":"new","ref":"9b'])
-def test_a_connection_without_a_whole_message_is_closed(tmp_path: Path, start: bytes) -> None:
+def test_a_connection_without_a_complete_message_is_closed(tmp_path: Path, start: bytes) -> None:
     hub = Hub("h1", 1, answer_call)
     with running_network(tmp_path, hub) as harness:
-        silent_one, good = harness.caller(), harness.caller()
-        silent_one.sock.sendall(start)
+        incomplete, good = harness.caller(), harness.caller()
+        incomplete.sock.sendall(start)
         good.send_new(REF)
         good.receive("up", REF)
-        assert silent_one.closed.wait(WAIT_TIMEOUT_S) and not good.closed.is_set()
+        assert incomplete.closed.wait(WAIT_TIMEOUT_S) and not good.closed.is_set()
 
 
-def test_a_second_copy_and_an_unknown_answer_harm_nothing(tmp_path: Path) -> None:
-    hub = Hub("h1", 1, silent)
+def test_duplicate_and_unknown_answers_are_only_acknowledged(tmp_path: Path) -> None:
+    hub = Hub("h1", 1, never_answer)
     with running_network(tmp_path, hub) as harness:
         caller = harness.caller()
         caller.send_new(REF)
-        sent = invite(hub)
-        sent.headers["Call-ID"] = OTHER
+        sent = wait_for_invite(hub)
+        sent.headers["Call-ID"] = OTHER_REF
         sent.answer(200, b"not ours")
         sent.headers["Call-ID"] = REF
         sent.answer(200, DESCRIPTION)
         sent.answer(200, DESCRIPTION)
         assert caller.receive("up", REF)["d"].encode("utf-8", "surrogateescape") == DESCRIPTION
-        for ref in (REF, REF, OTHER):
-            other(hub, "ACK", ref)
+        for ref in (REF, REF, OTHER_REF):
+            wait_for_message(hub, "ACK", ref)
         hub.send_request(sent.sock, "OPTIONS sip:ping@net", "last")
-        other(hub, "SIP/2.0", "last")  # so nothing more was said before it
+        wait_for_message(hub, "SIP/2.0", "last")  # so the hub has received everything sent before it
         assert not [m for m in hub.inbox if m.method == "BYE"] and not caller.inbox
 
 
 @pytest.mark.parametrize("length", ["9", "100", "3000000000", "-5", "x", ""])
-def test_an_answer_whose_length_does_not_fit_is_not_passed_on(tmp_path: Path, length: str) -> None:
-    """Its connection is of no further use: what is open on it fails, and the next call takes a new one."""
-    hub = Hub("h1", 1, silent)
+def test_an_answer_with_a_wrong_content_length_is_not_passed_on(tmp_path: Path, length: str) -> None:
+    """Message boundaries are lost: open set-ups on the connection fail, the next call uses a new one."""
+    hub = Hub("h1", 1, never_answer)
     with running_network(tmp_path, hub) as harness:
         caller = harness.caller()
         caller.send_new(REF, left="2000")
-        caller.send_new(OTHER, left="2000")
-        one, two = invite(hub), invite(hub, OTHER)
+        caller.send_new(OTHER_REF, left="2000")
+        one, two = wait_for_invite(hub), wait_for_invite(hub, OTHER_REF)
         head = f"SIP/2.0 200 X\r\nCall-ID: {REF}\r\nCSeq: 1 INVITE\r\nContent-Length: {length}\r\n\r\n"
-        more = f"SIP/2.0 200 X\r\nCall-ID: {OTHER}\r\nCSeq: 1 INVITE\r\nContent-Length: 1\r\n\r\nz"
+        more = f"SIP/2.0 200 X\r\nCall-ID: {OTHER_REF}\r\nCSeq: 1 INVITE\r\nContent-Length: 1\r\n\r\nz"
         assert one.sock is two.sock
         one.sock.sendall(head.encode() + DESCRIPTION + more.encode())
         caller.receive("down", REF)
-        caller.receive("down", OTHER)
+        caller.receive("down", OTHER_REF)
         third = REF[:-1] + "9"
         caller.send_new(third)
-        again = invite(hub, third)
+        again = wait_for_invite(hub, third)
         assert again.sock is not one.sock
         again.answer(200, DESCRIPTION)
         caller.receive("up", third)
 
 
-@pytest.mark.parametrize("deaf", [True, False])
-def test_half_an_answer_costs_no_other_call_its_time(tmp_path: Path, deaf: bool) -> None:
-    hub = Hub("h1", 1, silent)
-    hub.ignores_options = deaf
+@pytest.mark.parametrize("ignores_options", [True, False])
+def test_an_incomplete_answer_does_not_delay_other_calls(tmp_path: Path, ignores_options: bool) -> None:
+    hub = Hub("h1", 1, never_answer)
+    hub.ignores_options = ignores_options
     with running_network(tmp_path, hub) as harness:
         caller = harness.caller()
         caller.send_new(REF)
-        sent = invite(hub)
+        sent = wait_for_invite(hub)
         sent.sock.sendall(b"SIP/2.0 200 OK\r\nCall-ID: 9b1f")
         if not hub.ignores_options:
             harness.wait_for(lambda: "start line within a header" in harness.log_text())
         harness.wait_for(lambda: "hub connection lost" in harness.log_text())
-        caller.send_new(OTHER)
-        again = invite(hub, OTHER)
+        caller.send_new(OTHER_REF)
+        again = wait_for_invite(hub, OTHER_REF)
         assert again.sock is not sent.sock
         again.answer(200, DESCRIPTION)
-        caller.receive("up", OTHER)
+        caller.receive("up", OTHER_REF)
 
 
-@pytest.mark.parametrize("same", [True, False])
-def test_a_callers_release_reaches_the_hub_from_any_connection(tmp_path: Path, same: bool) -> None:
+@pytest.mark.parametrize("same_connection", [True, False])
+def test_a_callers_release_reaches_the_hub_from_any_connection(tmp_path: Path, same_connection: bool) -> None:
     hub = Hub("h1", 1, answer_call)
     with running_network(tmp_path, hub) as harness:
         caller = harness.caller()
         caller.send_new(REF)
         caller.receive("up", REF)
-        (caller if same else harness.caller()).send("down", REF, c=31)
-        assert other(hub, "BYE").headers["Reason"] == "Q.850;cause=31"
+        (caller if same_connection else harness.caller()).send("down", REF, c=31)
+        assert wait_for_message(hub, "BYE").headers["Reason"] == "Q.850;cause=31"
 
 
 @pytest.mark.parametrize(
     ("status", "note", "causes", "second"),
     [
         (503, "throttled", (42,), False),  # full
-        (486, "engaged", (41,), False),  # error: it may have run
+        (486, "engaged", (41,), False),  # error: the call may have run
         (500, "", (41,), False),
         (504, "", (41,), False),  # reset: not sent again
-        (480, "congestion", (), True),  # never left: goes on over a tandem
+        (480, "congestion", (), True),  # not sent: retried over a tandem
         (503, "congestion", (), True),
         (503, "remote_throttled", (42,), False),
     ],
@@ -234,57 +234,57 @@
 def test_refusals_of_a_hub(
     tmp_path: Path, status: int, note: str, causes: tuple[int, ...], second: bool
 ) -> None:
-    direct, tandem = Hub("h1", 1, refuses(status, note)), Hub("h2", 2, answer_call)
+    direct, tandem = Hub("h1", 1, refuse_with(status, note)), Hub("h2", 2, answer_call)
     with running_network(tmp_path, direct, tandem) as harness:
         caller = harness.caller()
         caller.send_new(REF)
         if second:
             caller.receive("up", REF)
-            # Guards the answer of a second attempt: a hub answers its first INVITE of a call as CSeq 1.
-            assert invite(tandem).headers["CSeq"] == "1 INVITE"
+            # A hub answers its first INVITE of a call with CSeq 1, whatever another hub has received.
+            assert wait_for_invite(tandem).headers["CSeq"] == "1 INVITE"
         else:
             assert caller.receive("down", REF)["c"] in causes
             assert not tandem.inbox
-        other(direct, "ACK")
+        wait_for_message(direct, "ACK")
 
 
-def test_a_call_that_ends_in_error_is_sent_again_over_another_connection(tmp_path: Path) -> None:
-    """Hubs answer every INVITE of a call as CSeq 1: on one connection two attempts can't be told apart."""
+def test_a_call_that_failed_is_sent_again_over_another_connection(tmp_path: Path) -> None:
+    """Hubs answer every INVITE of a call with CSeq 1, so two attempts on one connection look the same."""
     hub = Hub("h1", 1, lambda m: None if m.ref == REF else m.answer(500))
     with running_network(tmp_path, hub) as harness:
         caller = harness.caller()
-        for at in range(4):  # a lone error is not worth the work
+        for at in range(4):  # a failed call is retried only after several errors of the hub
             caller.send_new(f"{at:016x}")
             assert caller.receive("down", f"{at:016x}")["c"] == 41
         caller.send_new(REF)
-        first = invite(hub)
+        first = wait_for_invite(hub)
         first.answer(500)
-        second = invite(hub)
+        second = wait_for_invite(hub)
         assert second.sock is not first.sock and second.headers["CSeq"] == "1 INVITE"
-        first.answer(500)  # a second copy is not the answer of the second attempt
+        first.answer(500)  # a duplicate must not be taken for the answer of the second attempt
         second.answer(200, DESCRIPTION)
         caller.receive("up", REF)
 
 
-def test_a_silent_connection_is_tested_and_replaced(tmp_path: Path) -> None:
-    hub = Hub("h1", 1, silent)
+def test_a_silent_connection_is_pinged_and_replaced(tmp_path: Path) -> None:
+    hub = Hub("h1", 1, never_answer)
     hub.ignores_options = True
     with running_network(tmp_path, hub) as harness:
         caller = harness.caller()
         caller.send_new(REF)
-        sent = invite(hub)
+        sent = wait_for_invite(hub)
         hub.inbox.wait_and_pop(lambda m: m.method == "OPTIONS")
-        assert caller.receive("down", REF)["c"] == 41  # well before its time is up
+        assert caller.receive("down", REF)["c"] == 41  # long before the attempt times out
         assert (
             "closed, no answer to OPTIONS" in harness.log_text() and "end=timeout" not in harness.log_text()
         )
-        caller.send_new(OTHER)
-        again = invite(hub, OTHER)
+        caller.send_new(OTHER_REF)
+        again = wait_for_invite(hub, OTHER_REF)
         assert again.sock is not sent.sock
 
 
-def test_calls_of_a_gone_hub_are_released_though_another_has_its_address(tmp_path: Path) -> None:
-    """The connection of the old one is lost, and what comes up in its place is the new hub's."""
+def test_calls_of_a_gone_hub_are_released_although_another_hub_has_its_address(tmp_path: Path) -> None:
+    """After the old hub's connection is lost, the reconnect reaches the new hub at the same address."""
     old = Hub("h1", 1, answer_call)
     with running_network(tmp_path, old) as harness:
         caller = harness.caller()
@@ -296,12 +296,12 @@
         assert caller.receive("down", REF, timeout_s=5.0)["c"] == 41
 
 
-def test_a_release_of_a_call_that_failed_is_no_second_answer(tmp_path: Path) -> None:
-    hub = Hub("h1", 1, silent)
+def test_a_release_of_a_failed_call_is_not_a_second_answer(tmp_path: Path) -> None:
+    hub = Hub("h1", 1, never_answer)
     with running_network(tmp_path, hub) as harness:
         caller = harness.caller()
         caller.send_new(REF, left="600")
-        invite(hub)
+        wait_for_invite(hub)
         assert caller.receive("down", REF)["c"] == 41
         hub.send_bye(REF, 16)
         hub.inbox.wait_and_pop(lambda m: (m.method, m.ref) == ("SIP/2.0", REF))
@@ -310,52 +310,52 @@
         assert not caller.inbox
 
 
-def test_a_timed_out_attempt_is_cancelled_and_its_late_answer_undone(tmp_path: Path) -> None:
-    hub = Hub("h1", 1, silent)
+def test_a_timed_out_attempt_is_cancelled_and_its_late_answer_released(tmp_path: Path) -> None:
+    hub = Hub("h1", 1, never_answer)
     with running_network(tmp_path, hub) as harness:
         caller = harness.caller()
         caller.send_new(REF, left="900")
-        sent = invite(hub)
-        cancel = other(hub, "CANCEL")
+        sent = wait_for_invite(hub)
+        cancel = wait_for_message(hub, "CANCEL")
         assert cancel.headers["CSeq"] == "1 CANCEL"
         assert caller.receive("down", REF)["c"] == 41
         sent.answer(200, DESCRIPTION)
-        other(hub, "ACK")
-        other(hub, "BYE")
+        wait_for_message(hub, "ACK")
+        wait_for_message(hub, "BYE")
         assert not caller.inbox  # one final answer
 
 
-def test_one_attempt_at_a_time_and_a_late_answer_is_not_the_present_ones(tmp_path: Path) -> None:
-    first, second = Hub("h1", 1, refuses(503, "congestion")), Hub("h2", 2, silent)
+def test_attempts_follow_each_other_and_a_late_answer_counts_only_for_its_own(tmp_path: Path) -> None:
+    first, second = Hub("h1", 1, refuse_with(503, "congestion")), Hub("h2", 2, never_answer)
     with running_network(tmp_path, first, second) as harness:
         caller = harness.caller()
         caller.send_new(REF)
-        early, sent = invite(first), invite(second)
+        early, sent = wait_for_invite(first), wait_for_invite(second)
         assert early.received_at <= sent.received_at
-        early.answer(200, b"late")  # of the attempt that has ended
-        other(first, "BYE")
+        early.answer(200, b"late")  # for the attempt that has ended
+        wait_for_message(first, "BYE")
         assert not caller.inbox
         sent.answer(200, DESCRIPTION)
         assert caller.receive("up", REF)["d"].encode("utf-8", "surrogateescape") == DESCRIPTION
 
 
-def test_a_caller_that_gives_up_gets_no_answer(tmp_path: Path) -> None:
-    hub = Hub("h1", 1, silent)
+def test_an_abandoned_set_up_gets_no_answer(tmp_path: Path) -> None:
+    hub = Hub("h1", 1, never_answer)
     with running_network(tmp_path, hub) as harness:
         caller = harness.caller()
         caller.send_new(REF)
-        sent = invite(hub)
+        sent = wait_for_invite(hub)
         caller.send("down", REF, c=16)
-        other(hub, "CANCEL")
+        wait_for_message(hub, "CANCEL")
         sent.answer(200, DESCRIPTION)
-        other(hub, "BYE")
+        wait_for_message(hub, "BYE")
         caller.send("hb", "1", c=0)
         caller.receive("hb_ok", "1")
         assert not caller.inbox
 
 
 @pytest.mark.parametrize("status", ["Terminating", "Gone"])
-def test_nothing_new_to_a_hub_that_drains_or_is_gone(tmp_path: Path, status: str) -> None:
+def test_no_set_up_goes_to_a_draining_or_gone_hub(tmp_path: Path, status: str) -> None:
     hub = Hub("h1", 1, answer_call)
     with running_network(tmp_path, hub) as harness:
         harness.journal.publish(hub, status=status)
@@ -366,8 +366,8 @@
         assert not [m for m in hub.inbox if m.method == "INVITE"]
 
 
-def test_a_stalled_poll_is_opened_anew_and_an_address_used_again(tmp_path: Path) -> None:
-    old = Hub("h1", 1, silent)
+def test_a_stalled_poll_is_reconnected_and_a_reused_address_is_followed(tmp_path: Path) -> None:
+    old = Hub("h1", 1, never_answer)
     with running_network(tmp_path, old) as harness:
         harness.journal.stall = True
         polls = len(harness.journal.polls)
@@ -386,7 +386,7 @@
         caller.receive("up", REF)
 
 
-def test_refused_connect_never_ran_and_the_call_is_refused(tmp_path: Path) -> None:
+def test_a_call_to_a_hub_that_refuses_connects_is_refused(tmp_path: Path) -> None:
     hub = Hub("h1", 1)
     with running_network(tmp_path, hub) as harness:
         hub.kill()
@@ -396,23 +396,23 @@
         assert caller.receive("down", REF)["c"] == 42
 
 
-def test_lost_connection_gives_up_set_ups_and_standing_calls_live_on(tmp_path: Path) -> None:
+def test_a_lost_connection_fails_set_ups_and_keeps_established_calls(tmp_path: Path) -> None:
     hub = Hub("h1", 1, lambda m: answer_call(m) if m.ref == REF else None)
     with running_network(tmp_path, hub) as harness:
         caller = harness.caller()
         caller.send_new(REF)
         caller.receive("up", REF)
-        caller.send_new(OTHER)
-        invite(hub, OTHER)
+        caller.send_new(OTHER_REF)
+        wait_for_invite(hub, OTHER_REF)
         hub.conns.pop().shutdown(2)
-        assert caller.receive("down", OTHER)["c"] == 41
-        harness.wait_for(lambda: hub.conns)  # reached again: its calls may well stand
+        assert caller.receive("down", OTHER_REF)["c"] == 41
+        harness.wait_for(lambda: hub.conns)  # reconnected, so its calls may still be established
         assert not caller.inbox
         hub.send_bye(REF, 16)
         assert caller.receive("down", REF)["c"] == 16
 
 
-def test_calls_of_a_dead_process_are_released(tmp_path: Path) -> None:
+def test_calls_of_a_killed_hub_are_released(tmp_path: Path) -> None:
     hub = Hub("h1", 1, answer_call)
     with running_network(tmp_path, hub) as harness:
         caller = harness.caller()
@@ -423,21 +423,21 @@
 
 
 def test_calls_of_a_vanished_hub_are_released(tmp_path: Path) -> None:
-    """Their ends are never told, and their callers must hear within 8 s of them."""
-    hub, well = Hub("h1", 1, answer_call), Hub("h2", 2, answer_call)
-    with running_network(tmp_path, hub, well) as harness:
+    """The hub can no longer report their ends, and callers must be notified within 8 s of an end."""
+    hub, reachable = Hub("h1", 1, answer_call), Hub("h2", 2, answer_call)
+    with running_network(tmp_path, hub, reachable) as harness:
         caller = harness.caller()
         caller.send_new(REF)
-        caller.send_new(OTHER, to=2)
+        caller.send_new(OTHER_REF, to=2)
         caller.receive("up", REF)
-        caller.receive("up", OTHER)
+        caller.receive("up", OTHER_REF)
         hub.vanish()
         assert caller.receive("down", REF)["c"] == 41
         assert "calls released, hub unreachable" in harness.log_text()
-        assert not caller.inbox  # the other hub is silent too, but reached: its calls stand
+        assert not caller.inbox  # the other hub is silent too, but reachable: its call remains
 
 
-def test_calls_through_a_draining_hub_live_on_while_it_refuses_connections(tmp_path: Path) -> None:
+def test_calls_of_a_draining_hub_continue_while_it_refuses_connections(tmp_path: Path) -> None:
     hub = Hub("h1", 1, answer_call)
     with running_network(tmp_path, hub) as harness:
         caller = harness.caller()
@@ -445,14 +445,14 @@
         caller.receive("up", REF)
         hub.listener.shutdown(socket.SHUT_RDWR)
         hub.listener.close()
-        # Silent, and looked for every 3 s.
+        # The hub is silent, so a connect is tried every 3 s.
         harness.wait_for(lambda: harness.log_text().count("connect to hub failed") >= 3)
         assert not caller.inbox and "calls released, hub unreachable" not in harness.log_text()
         hub.send_bye(REF, 41)
         assert caller.receive("down", REF)["c"] == 41
 
 
-def test_release_after_a_restart_waits_for_a_connection(tmp_path: Path) -> None:
+def test_a_release_after_a_restart_waits_for_a_callers_connection(tmp_path: Path) -> None:
     hub = Hub("h1", 1, answer_call)
     with running_network(tmp_path, hub) as harness:
         caller = harness.caller()
@@ -464,19 +464,19 @@
         (tmp_path / "log").write_text("")
         harness.start()
         hub.send_bye(REF, 16)
-        other(hub, "SIP/2.0")  # heard; nobody is there to be told yet
+        wait_for_message(hub, "SIP/2.0")  # the release is received, but no caller is connected yet
         stranger, caller = harness.caller(), harness.caller()
         caller.send("hb", "1", c=0)
         assert caller.receive("down", REF)["c"] == 16
-        assert not stranger.inbox  # it has said nothing, so it may be no caller
+        assert not stranger.inbox  # it has sent nothing, so it may not be a caller
 
 
-def test_a_release_goes_to_a_caller_and_not_to_whoever_has_connected(tmp_path: Path) -> None:
+def test_a_release_goes_to_a_caller_and_not_to_an_unknown_peer(tmp_path: Path) -> None:
     hub = Hub("h1", 1, answer_call)
     with running_network(tmp_path, hub) as harness:
         first, working = harness.caller(), harness.caller()
-        working.send_new(OTHER)
-        working.receive("up", OTHER)
+        working.send_new(OTHER_REF)
+        working.receive("up", OTHER_REF)
         first.send_new(REF)
         first.receive("up", REF)
         first.sock.shutdown(socket.SHUT_RDWR)
@@ -502,7 +502,7 @@
         b'{"t":"tell","ref":"9b1f03aa5c7e2d41","f":{}}\n',
     ],
 )
-def test_malformed_input_closes_that_connection_only(tmp_path: Path, line: bytes) -> None:
+def test_malformed_input_from_a_caller_closes_that_connection_only(tmp_path: Path, line: bytes) -> None:
     hub = Hub("h1", 1, answer_call)
     with running_network(tmp_path, hub) as harness:
         good, bad = harness.caller(), harness.caller()
@@ -532,7 +532,7 @@
         {"body": "y" * 15_950},
     ],
 )
-def test_calls_that_nobody_could_serve_fail_at_once(tmp_path: Path, fields: dict[str, Any]) -> None:
+def test_invalid_set_ups_are_rejected_immediately(tmp_path: Path, fields: dict[str, Any]) -> None:
     hub = Hub("h1", 1, answer_call)
     with running_network(tmp_path, hub) as harness:
         caller = harness.caller()
@@ -541,12 +541,12 @@
         assert not [m for m in hub.inbox if m.method == "INVITE"]
 
 
-def test_a_duplicate_id_fails_at_once(tmp_path: Path) -> None:
-    hub = Hub("h1", 1, silent)
+def test_a_duplicate_call_id_is_rejected_immediately(tmp_path: Path) -> None:
+    hub = Hub("h1", 1, never_answer)
     with running_network(tmp_path, hub) as harness:
         caller = harness.caller()
         caller.send_new(REF)
-        sent = invite(hub)
+        sent = wait_for_invite(hub)
         caller.send_new(REF)
         assert caller.receive("down", REF)["c"] == 95
         sent.answer(200)
@@ -562,72 +562,76 @@
         b"SIP/2.0 200 OK\r\nContent-Length: 99999\r\n\r\n",
     ],
 )
-def test_a_hubs_garbage_closes_that_connection_only(tmp_path: Path, garbage: bytes) -> None:
+def test_malformed_input_from_a_hub_closes_that_connection_only(tmp_path: Path, garbage: bytes) -> None:
     hub = Hub("h1", 1, answer_call)
     with running_network(tmp_path, hub) as harness:
         hub.conns.pop().sendall(garbage)
-        harness.wait_for(lambda: hub.conns)  # opened again
+        harness.wait_for(lambda: hub.conns)  # reconnected
         caller = harness.caller()
         caller.send_new(REF)
         caller.receive("up", REF)
 
 
-def test_a_caller_that_does_not_read_blocks_nobody(tmp_path: Path) -> None:
+def test_a_caller_that_does_not_read_does_not_block_others(tmp_path: Path) -> None:
     hub = Hub("h1", 1, lambda m: m.answer(200, b"y" * 14000))
     with running_network(tmp_path, hub) as harness:
         slow, quick = harness.caller(), harness.caller()
-        slow.sock.setsockopt(6, 10, 1)  # no more is read than the kernel holds
+        slow.sock.setsockopt(6, 10, 1)  # TCP_WINDOW_CLAMP: the kernel accepts little data that is not read
         for at in range(60):
             slow.send_new(f"{at:016x}", body=b"")
         quick.send_new(REF)
-        # Served, or refused in the burst; answered, at any rate.
+        # The burst may cause a refusal, but there must be an answer.
         quick.inbox.wait_and_pop(lambda m: m["ref"] == REF)
 
 
-def test_sigterm_finishes_what_is_taken(tmp_path: Path) -> None:
-    hub = Hub("h1", 1, silent)
+def test_sigterm_finishes_open_and_new_set_ups(tmp_path: Path) -> None:
+    hub = Hub("h1", 1, never_answer)
     with running_network(tmp_path, hub) as harness:
         caller = harness.caller()
         caller.send_new(REF)
-        sent = invite(hub)
+        sent = wait_for_invite(hub)
         harness.process.send_signal(signal.SIGTERM)
-        late = harness.caller()  # connections keep coming for a while
-        late.send_new(OTHER)
-        invite(hub, OTHER).answer(200, b"b")
-        late.receive("up", OTHER)
+        late = harness.caller()  # new connections are still accepted for a while
+        late.send_new(OTHER_REF)
+        wait_for_invite(hub, OTHER_REF).answer(200, b"b")
+        late.receive("up", OTHER_REF)
         sent.answer(200, b"a")
         caller.receive("up", REF)
         assert harness.process.wait(WAIT_TIMEOUT_S) == 0
         harness.process.poll = lambda: None  # type: ignore[method-assign]
 
 
-def test_sighup_follows_the_journal_to_its_new_address(tmp_path: Path) -> None:
+def test_sighup_reconnects_to_the_journals_new_address(tmp_path: Path) -> None:
     hub = Hub("h1", 1, answer_call)
     with running_network(tmp_path, Hub("h0", 0), hub) as harness:
         old, harness.journal = harness.journal, Journal()
         harness.journal.entries = list(old.entries)
-        old.stall = True  # it holds the poll and tells nothing more
+        old.stall = True  # it holds the poll open without an answer
         file = tmp_path / "config.json"
         file.write_text(harness.config())
         harness.process.send_signal(signal.SIGHUP)
-        assert harness.journal.polls.wait_and_pop(lambda _: True) == 1  # goes on from the next number
+        assert harness.journal.polls.wait_and_pop(lambda _: True) == 1  # continues after the last event
         new = Hub("h2", 2, answer_call)
         harness.journal.publish(new)
         harness.wait_for(lambda: new.conns)
         file.write_text("{")
         harness.process.send_signal(signal.SIGHUP)
         harness.wait_for(lambda: "configuration not reloaded" in harness.log_text())
-        harness.journal.publish(hub, status="Terminating")  # the old settings stay
+        harness.journal.publish(hub, status="Terminating")  # the old settings remain in force
         harness.wait_for(lambda: "hub=h1 group=1 state=Terminating" in harness.log_text())
 
 
-@pytest.mark.parametrize(("longest_us", "leave_s"), [(1_000_000, 1.4), (9_000_000, 3.4)])
-def test_leaving_is_over_before_sigkill_may_come(tmp_path: Path, longest_us: int, leave_s: float) -> None:
-    settings = SETTINGS | {"classes": [{"name": "voice", "aim_us": 900_000, "hard_limit_us": longest_us}]}
+@pytest.mark.parametrize(("longest_deadline_us", "expected_shutdown_s"), [(1_000_000, 1.4), (9_000_000, 3.4)])
+def test_shutdown_ends_before_a_possible_sigkill(
+    tmp_path: Path, longest_deadline_us: int, expected_shutdown_s: float
+) -> None:
+    settings = SETTINGS | {
+        "classes": [{"name": "voice", "aim_us": 900_000, "hard_limit_us": longest_deadline_us}]
+    }
     path = tmp_path / "config.json"
     path.write_text(json.dumps({"settings": settings, "journal": "127.0.0.1:1", "listen": "127.0.0.1:1"}))
     router = Router(config.load({"LB_CONFIG": str(path)}), config.OperatorConfig())
-    assert router.shutdown_s == pytest.approx(leave_s)
+    assert router.shutdown_s == pytest.approx(expected_shutdown_s)
 
 
 @pytest.mark.parametrize(
@@ -640,19 +644,19 @@
         json.dumps({"settings": {"classes": [{"hard_limit_us": 1}]}, "journal": "x"}),
     ],
 )
-def test_bad_configuration_is_one_line_and_exit_2(tmp_path: Path, text: str | None) -> None:
+def test_an_invalid_configuration_gives_one_line_and_exit_status_2(tmp_path: Path, text: str | None) -> None:
     file = tmp_path / "config.json"
     if text is not None:
         file.write_text(text)
     env = os.environ | {"LB_CONFIG": str(file), "LB_LISTEN": "127.0.0.1:0"}
-    done = subprocess.run(
+    process = subprocess.run(
         [sys.executable, "-m", "barleywheel"], cwd=ROOT, env=env, capture_output=True, timeout=60, check=False
     )
-    assert done.returncode == 2 and len(done.stderr.splitlines()) == 1
+    assert process.returncode == 2 and len(process.stderr.splitlines()) == 1
 
 
-def test_retry_advice_travels_in_the_answer(tmp_path: Path) -> None:
-    hub = Hub("h1", 1, refuses(503, "throttled"))
+def test_retry_advice_is_sent_in_the_answer(tmp_path: Path) -> None:
+    hub = Hub("h1", 1, refuse_with(503, "throttled"))
     limits = {"cancel": True, "retry_after": True, "max_retry_after_us": 2000000}
     with running_network(tmp_path, hub, limits=limits) as harness:
         caller = harness.caller()
