--- a/tests/test_m3ua.py
+++ b/tests/test_m3ua.py
@@ -387,7 +387,7 @@
         step = message.body.split(b":")[1]
         direct = message.hub.cell == 1
         time.sleep(0.02)  # long enough that a second simultaneous attempt would overlap
-        self.attempt_spans.setdefault(message.ref, []).append((message.at, time.time()))
+        self.attempt_spans.setdefault(message.ref, []).append((message.received_at, time.time()))
         if step == b"crank" and direct:
             self.refused_refs.append(message.ref)
             message.answer(503, X_Note="congestion")
@@ -461,7 +461,7 @@
         assert place_and_compare(8, "stand") == ("up", 0, b"made for stand")
         assert place_and_compare(9, "full") == ("down", 42, b"")
 
-        late = [m for m in invites(drained) if m.at > max(published_at + 0.25, drain_known_at)]
+        late = [m for m in invites(drained) if m.received_at > max(published_at + 0.25, drain_known_at)]
         assert not late, "set-ups to the draining hub"
         for ref, spans in script.attempt_spans.items():
             assert all(end <= begin for (_, end), (begin, _) in zip(spans, spans[1:], strict=False)), ref
