--- a/barleywheel/fuzz/rules.py
+++ b/barleywheel/fuzz/rules.py
@@ -14,10 +14,10 @@
 from barleywheel.standins.caller import Caller
 from barleywheel.virtual.environment import GUARD_US, HOME_CELL, MAX_ATTEMPTS, START_US, VirtualEnvironment
 
-DRAIN_LIMIT_US = 250_000
-RELEASE_LIMIT_US = 1_000_000
-CANCEL_LIMIT_US = 300_000  # until a hub must have heard that a set-up was given up
-ACCEPTED_AFTER_TERM_US = 700_000  # set-ups later than this after SIGTERM are owed nothing
+DRAIN_GRACE_US = 250_000
+RELEASE_DEADLINE_US = 1_000_000
+CANCEL_DEADLINE_US = 300_000  # until a hub must have heard that a set-up was given up
+TERM_ACCEPT_WINDOW_US = 700_000  # set-ups later than this after SIGTERM are owed nothing
 REJECTION_CAUSES = {34, 41, 42, 95, 102}
 
 
@@ -53,27 +53,27 @@
     number: str = "7f3a"
     transit: bool = False
     is_duplicate: bool = False  # under an id that is in use: owed one rejection
-    answer_due: bool = True
+    answer_required: bool = True
     cic: int = -1
     answers: list[str] = field(default_factory=list)
-    given_up_us: int | None = None
+    abandoned_us: int | None = None
     attempts: list[Attempt] = field(default_factory=list)
 
     @property
     def open(self) -> bool:
         """Whether an answer is still owed."""
-        return not self.answers and self.given_up_us is None
+        return not self.answers and self.abandoned_us is None
 
 
 @dataclass(eq=False)
-class StandingCall:
+class EstablishedCall:
     """A call that stands."""
 
     offer: OfferedCall
     hub_name: str
     ended_by: str = ""  # who ended it
     releases_sent: int = 0  # releases told to the caller's side
-    uncertain: bool = False  # the router can't know whether it still stands
+    may_have_ended: bool = False  # the router can't know whether it still stands
 
 
 class RuleChecker:
@@ -83,8 +83,8 @@
         self.env: VirtualEnvironment
         self.violations: list[Violation] = []
         self.offers: list[OfferedCall] = []
-        self.by_ref: dict[str, list[OfferedCall]] = {}
-        self.standing: dict[str, StandingCall] = {}
+        self.offers_by_ref: dict[str, list[OfferedCall]] = {}
+        self.established_calls: dict[str, EstablishedCall] = {}
         # 200s that somebody has to account for: hub, id -> when.
         self.unresolved_answers: dict[tuple[str, str], int] = {}
         self.unknown_releases: dict[str, int] = {}  # releases of calls that never stood here: id -> how many
@@ -93,9 +93,9 @@
         self.draining_since_us: dict[str, int] = {}
         self.gone_hubs: set[str] = set()  # hubs that the journal calls gone, whether that was heard or not
         self.term_us: int | None = None
-        self.ignored_ids: set[str] = set()  # ids that only unusable lines name
+        self.ignored_refs: set[str] = set()  # ids that only unusable lines name
         self.known_callers: set[Caller] = set()  # connections on which something usable was sent
-        self.malformed_callers: set[Caller] = set()  # connections that have carried what is no message
+        self.closable_callers: set[Caller] = set()  # connections that have carried what is no message
         self.inbound_circuits: dict[int, OfferedCall] = {}  # of the exchange: our call there, by circuit
         self.outbound_circuits: dict[int, OfferedCall] = {}  # circuits that the router took
         self.released_by: dict[int, str] = {}  # circuits whose REL awaits its RLC: who sent it
@@ -113,13 +113,13 @@
 
     def on_offer(self, offer: OfferedCall) -> None:
         """A set-up has been written whole."""
-        before = self.by_ref.setdefault(offer.ref, [])
-        standing_call = self.standing.get(offer.ref)
+        before = self.offers_by_ref.setdefault(offer.ref, [])
+        established_call = self.established_calls.get(offer.ref)
         offer.is_duplicate = (
-            any(one.open for one in before) or standing_call is not None and not standing_call.ended_by
+            any(one.open for one in before) or established_call is not None and not established_call.ended_by
         )
-        if self.term_us is not None and self.env.now_us > self.term_us + ACCEPTED_AFTER_TERM_US:
-            offer.answer_due = False
+        if self.term_us is not None and self.env.now_us > self.term_us + TERM_ACCEPT_WINDOW_US:
+            offer.answer_required = False
         before.append(offer)
         self.offers.append(offer)
         if offer.caller is not None:
@@ -127,36 +127,38 @@
 
     def open_offer(self, ref: str) -> OfferedCall | None:
         """The set-up under an id that is being served."""
-        return next((one for one in self.by_ref.get(ref, ()) if one.open and not one.is_duplicate), None)
+        return next(
+            (one for one in self.offers_by_ref.get(ref, ()) if one.open and not one.is_duplicate), None
+        )
 
     def on_caller_release(self, ref: str) -> None:
         """The caller's side wrote a release or hung up."""
         offer = self.open_offer(ref)
-        standing_call = self.standing.get(ref)
+        established_call = self.established_calls.get(ref)
         if offer is not None:
-            offer.given_up_us = self.env.now_us
+            offer.abandoned_us = self.env.now_us
             self.count("given up")
-        elif standing_call is not None and not standing_call.ended_by:
-            standing_call.ended_by = "caller"
+        elif established_call is not None and not established_call.ended_by:
+            established_call.ended_by = "caller"
             self.count("released by caller")
-            one = self.env.hubs.get(standing_call.hub_name)
+            one = self.env.hubs.get(established_call.hub_name)
             if (
                 one is not None
-                and standing_call.hub_name not in self.gone_hubs
-                and not standing_call.uncertain
+                and established_call.hub_name not in self.gone_hubs
+                and not established_call.may_have_ended
             ):
-                self.expect("hub released", ref, RELEASE_LIMIT_US)
+                self.expect("hub released", ref, RELEASE_DEADLINE_US)
 
     def on_caller_closed(self, caller: Caller) -> None:
         """A caller hung up: what was open on its connection is given up."""
         for offer in self.offers:
             if offer.caller is caller and offer.open:
-                offer.given_up_us = self.env.now_us
+                offer.abandoned_us = self.env.now_us
 
     def on_router_closed(self, caller: Caller, reset: bool) -> None:
         """The router closed a caller's connection."""
         self.count("hung up on")
-        if caller in self.malformed_callers or self.env.terminated:
+        if caller in self.closable_callers or self.env.terminated:
             self.on_caller_closed(caller)
             return
         for offer in self.offers:
@@ -169,7 +171,7 @@
 
     def on_message(self, caller: Caller, kind: str, ref: str, message: dict[str, Any]) -> None:
         """See ``standins.caller.MessageHandler``."""
-        if ref in self.ignored_ids:
+        if ref in self.ignored_refs:
             return
         if kind == "up":
             self._on_up(caller, ref, message)
@@ -183,9 +185,9 @@
         if offer.answers:
             self.add_violation("second answer", f"{offer.ref}: {kind} after {offer.answers}")
             return False
-        if offer.given_up_us is not None and offer.given_up_us < now:
+        if offer.abandoned_us is not None and offer.abandoned_us < now:
             self.add_violation(
-                "answer after down", f"{offer.ref}: {kind}, given up {now - offer.given_up_us} us before"
+                "answer after down", f"{offer.ref}: {kind}, given up {now - offer.abandoned_us} us before"
             )
         if now > offer.due_us:
             self.add_violation(
@@ -196,7 +198,7 @@
         return True
 
     def _offer_on(self, caller: Caller | None, ref: str) -> OfferedCall | None:
-        own = [one for one in self.by_ref.get(ref, ()) if one.caller is caller]
+        own = [one for one in self.offers_by_ref.get(ref, ()) if one.caller is caller]
         waiting = [one for one in own if not one.answers]
         return waiting[0] if waiting else own[-1] if own else None
 
@@ -204,7 +206,7 @@
         offer = next(
             (
                 one
-                for one in self.by_ref.get(ref, ())
+                for one in self.offers_by_ref.get(ref, ())
                 if one.caller is caller and not one.is_duplicate and not one.answers
             ),
             self._offer_on(caller, ref),
@@ -214,9 +216,9 @@
             return
         if not self._record_answer(offer, "up"):
             return
-        self._record_standing(offer, message["d"].encode("utf-8", "surrogateescape"))
+        self._record_established(offer, message["d"].encode("utf-8", "surrogateescape"))
 
-    def _record_standing(self, offer: OfferedCall, description: bytes) -> None:
+    def _record_established(self, offer: OfferedCall, description: bytes) -> None:
         last = offer.attempts[-1] if offer.attempts else None
         if last is None or not last.succeeded:
             self.add_violation("served by nobody", f"{offer.ref} stands and no hub answered it")
@@ -224,32 +226,36 @@
         given = hub.hub_description(last.hub_name, offer.ref)
         if description != given:
             self.add_violation("description", f"{offer.ref}: {description!r} in place of {given!r}")
-        standing_call = self.standing[offer.ref] = StandingCall(offer, last.hub_name)
+        established_call = self.established_calls[offer.ref] = EstablishedCall(offer, last.hub_name)
         self.unresolved_answers.pop((last.hub_name, offer.ref), None)
         unknown = last.hub_name.encode() not in self.env.router.hubs.hubs and last.hub_name != "h4"
         if last.hub_name in self.gone_hubs or unknown:
-            standing_call.uncertain = True  # the router takes it for another at that address
+            established_call.may_have_ended = True  # the router takes it for another at that address
 
     def _on_down(self, caller: Caller | None, ref: str, cause: int) -> None:
-        standing_call = self.standing.get(ref)
+        established_call = self.established_calls.get(ref)
         again = next(
             (
                 one
-                for one in self.by_ref.get(ref, ())
+                for one in self.offers_by_ref.get(ref, ())
                 if one.caller is caller and one.is_duplicate and not one.answers
             ),
             None,
         )
         own = [
             one
-            for one in self.by_ref.get(ref, ())
+            for one in self.offers_by_ref.get(ref, ())
             if one.caller is caller and not one.answers and not one.is_duplicate
         ]
         waiting = next((one for one in own if one.open), own[0] if own else None)
         if again is not None and cause == 95:
             self._record_answer(again, "rejected")
-        elif standing_call is not None and standing_call.ended_by == "hub" and cause not in REJECTION_CAUSES:
-            self._record_release(ref, standing_call, cause)
+        elif (
+            established_call is not None
+            and established_call.ended_by == "hub"
+            and cause not in REJECTION_CAUSES
+        ):
+            self._record_release(ref, established_call, cause)
         elif self.unknown_releases.get(ref) and cause not in REJECTION_CAUSES:
             self.unknown_releases[ref] -= 1
         elif waiting is not None and cause in REJECTION_CAUSES:
@@ -260,8 +266,8 @@
                 and not waiting.attempts[-1].succeeded
             ):
                 self.add_violation("answered with an attempt out", f"{ref}: {cause}")
-        elif standing_call is not None:
-            self._record_release(ref, standing_call, cause)
+        elif established_call is not None:
+            self._record_release(ref, established_call, cause)
         elif (offer := self._offer_on(caller, ref)) is not None:
             self._record_answer(offer, f"down {cause}")
         elif not self.unknown_releases.get(ref):
@@ -269,20 +275,20 @@
         else:
             self.unknown_releases[ref] -= 1
 
-    def _record_release(self, ref: str, standing_call: StandingCall, cause: int) -> None:
-        standing_call.releases_sent += 1
+    def _record_release(self, ref: str, established_call: EstablishedCall, cause: int) -> None:
+        established_call.releases_sent += 1
         self.expectations.pop(("caller told", ref), None)
-        if standing_call.releases_sent > 1:
+        if established_call.releases_sent > 1:
             self.add_violation("release told twice", f"{ref} with {cause}")
-        elif standing_call.ended_by == "caller" and not standing_call.uncertain:
+        elif established_call.ended_by == "caller" and not established_call.may_have_ended:
             self.add_violation("release told to who released", f"{ref} with {cause}")
-        elif not standing_call.ended_by and not standing_call.uncertain:
+        elif not established_call.ended_by and not established_call.may_have_ended:
             self.add_violation(
-                "release invented", f"{ref} with {cause}: it still stands at {standing_call.hub_name}"
+                "release invented", f"{ref} with {cause}: it still stands at {established_call.hub_name}"
             )
-        standing_call.ended_by = standing_call.ended_by or "router"
+        established_call.ended_by = established_call.ended_by or "router"
         self.count("release told")
-        del self.standing[ref]
+        del self.established_calls[ref]
         self.unknown_releases.setdefault(ref, 0)
 
     # Hubs: see ``standins.hub.HubObserver``.
@@ -294,11 +300,11 @@
             (o for o in self.offers if o.caller is None and o.description == message.body and o.open), None
         )
         if offer is not None and offer.caller is None and offer.ref != setup.ref:
-            self.by_ref.setdefault(setup.ref, []).append(offer)
+            self.offers_by_ref.setdefault(setup.ref, []).append(offer)
             offer.ref = setup.ref
         if offer is None:
-            known = self.by_ref.get(setup.ref)
-            gave_up = known[-1].given_up_us if known else None
+            known = self.offers_by_ref.get(setup.ref)
+            gave_up = known[-1].abandoned_us if known else None
             if gave_up is None or gave_up < self.env.now_us:
                 self.add_violation(
                     "set-up of nobody's", f"{setup.ref} at {at_hub.name}: no call is open under that id"
@@ -327,7 +333,7 @@
         self.count(f"attempt {len(offer.attempts)}")
         if len(offer.attempts) > MAX_ATTEMPTS:
             self.add_violation("attempts", f"{ref}: {len(offer.attempts)} of them")
-        if now > self.draining_since_us.get(hub_name, now) + DRAIN_LIMIT_US:
+        if now > self.draining_since_us.get(hub_name, now) + DRAIN_GRACE_US:
             self.add_violation(
                 "drain", f"{ref} at {hub_name}, told {now - self.draining_since_us[hub_name]} us before"
             )
@@ -346,7 +352,7 @@
         self.count("attempt given up")
 
     def _end_attempt(self, ref: str, hub_name: str, guarded: bool = False, succeeded: bool = False) -> None:
-        for offer in reversed(self.by_ref.get(ref, [])):
+        for offer in reversed(self.offers_by_ref.get(ref, [])):
             for one in reversed(offer.attempts):
                 if one.hub_name == hub_name and one.end_us is None:
                     one.end_us, one.guarded, one.succeeded = self.env.now_us, guarded, succeeded
@@ -370,34 +376,38 @@
 
     def on_released(self, at_hub: hub.Hub, ref: str) -> None:
         """The router released a call at a hub."""
-        standing_call = self.standing.get(ref)
+        established_call = self.established_calls.get(ref)
         self.expectations.pop(("hub released", ref), None)
         if self.unresolved_answers.pop((at_hub.name, ref), None) is not None:
             self.count("late answer undone")
-        elif standing_call is not None and (
-            standing_call.uncertain
-            or standing_call.hub_name == at_hub.name
-            and standing_call.ended_by == "caller"
+        elif established_call is not None and (
+            established_call.may_have_ended
+            or established_call.hub_name == at_hub.name
+            and established_call.ended_by == "caller"
         ):
-            del self.standing[ref]
+            del self.established_calls[ref]
             self.unknown_releases.setdefault(ref, 0)
         else:
             self.add_violation(
                 "release invented",
                 f"{ref} at {at_hub.name} while "
-                + ("it stands" if standing_call and not standing_call.ended_by else "nothing stands"),
+                + ("it stands" if established_call and not established_call.ended_by else "nothing stands"),
             )
 
     def on_releasing(self, at_hub: hub.Hub, ref: str) -> None:
         """A hub releases a call."""
-        standing_call = self.standing.get(ref)
+        established_call = self.established_calls.get(ref)
         pending = self.unresolved_answers.pop((at_hub.name, ref), None)
-        if standing_call is not None and standing_call.hub_name == at_hub.name and not standing_call.ended_by:
-            standing_call.ended_by = "hub"
+        if (
+            established_call is not None
+            and established_call.hub_name == at_hub.name
+            and not established_call.ended_by
+        ):
+            established_call.ended_by = "hub"
             self.count("released by hub")
-            if self.env.exchange.active if standing_call.offer.caller is None else self.caller_reachable():
-                self.expect("caller told", ref, RELEASE_LIMIT_US)
-        elif pending is None and self.open_offer(ref) is None and standing_call is None:
+            if self.env.exchange.active if established_call.offer.caller is None else self.caller_reachable():
+                self.expect("caller told", ref, RELEASE_DEADLINE_US)
+        elif pending is None and self.open_offer(ref) is None and established_call is None:
             self.unknown_releases[ref] = 1  # one more within 30 s is taken for a repeat and told no more
         elif pending is not None:
             # Ended before it was passed on: told after the answer.
@@ -406,7 +416,7 @@
     def caller_reachable(self) -> bool:
         """Whether some connection is open that a release to callers may go to."""
         return any(
-            one.open and one in self.known_callers and one not in self.malformed_callers
+            one.open and one in self.known_callers and one not in self.closable_callers
             for one in self.env.callers.values()
         )
 
@@ -416,7 +426,7 @@
 
     # Troubles, told by the script.
 
-    def on_hub_closed(self, name: str) -> None:
+    def on_hub_draining(self, name: str) -> None:
         """The router has been told that a hub drains or is gone."""
         self.draining_since_us.setdefault(name, self.env.now_us)
 
@@ -425,23 +435,23 @@
         self.draining_since_us.pop(name, None)
         self.gone_hubs.discard(name)
 
-    def on_hub_failed(self, name: str, dead: bool) -> None:
+    def on_hub_failed(self, name: str, gone: bool) -> None:
         """A hub's process or machine is in trouble: what stood there may be told as over at any time."""
-        for ref, standing_call in self.standing.items():
-            if standing_call.hub_name == name:
-                standing_call.uncertain = True
+        for ref, established_call in self.established_calls.items():
+            if established_call.hub_name == name:
+                established_call.may_have_ended = True
                 self.expectations.pop(("hub released", ref), None)
                 self.expectations.pop(("caller told", ref), None)
         for key in [key for key in self.unresolved_answers if key[0] == name]:
             del self.unresolved_answers[key]
-        if dead:
+        if gone:
             self.gone_hubs.add(name)
 
     def waive_expectations(self) -> None:
         """Connections were ended by the script: what was on its way on them may be lost."""
         self.expectations.clear()
-        for standing_call in self.standing.values():
-            standing_call.uncertain = True
+        for established_call in self.established_calls.values():
+            established_call.may_have_ended = True
 
     # The exchange.
 
@@ -467,7 +477,7 @@
             if inbound is None:
                 self.add_violation("answer to nobody", f"ANM on {cic}")
             elif self._record_answer(inbound, "up"):
-                self._record_standing(inbound, found)
+                self._record_established(inbound, found)
                 self.count("ANM heard")
         elif kind == exchange.REL:
             self._on_circuit_released(cic, inbound, outbound, body[4] & 0x7F)
@@ -482,21 +492,21 @@
         self.count("REL heard")
         if outbound is not None:
             self._end_attempt(outbound.ref, "h4", guarded=True)
-            standing_call = self.standing.get(outbound.ref)
-            if standing_call is not None and standing_call.hub_name == "h4":
+            established_call = self.established_calls.get(outbound.ref)
+            if established_call is not None and established_call.hub_name == "h4":
                 self.expectations.pop(("hub released", outbound.ref), None)
-                if standing_call.ended_by != "caller" and not standing_call.uncertain:
+                if established_call.ended_by != "caller" and not established_call.may_have_ended:
                     self.add_violation("release invented", f"REL {cause} on {cic} while it stands")
-                del self.standing[outbound.ref]
+                del self.established_calls[outbound.ref]
             self.unresolved_answers.pop(("h4", outbound.ref), None)
         elif inbound is not None:
-            standing_call = self.standing.get(inbound.ref)
-            if inbound.given_up_us is not None:
+            established_call = self.established_calls.get(inbound.ref)
+            if inbound.abandoned_us is not None:
                 pass  # the circuit alone is released
             elif not inbound.answers:
                 self._record_answer(inbound, "refused" if cause in (34, 42, 102) else "failed")
-            elif standing_call is not None:
-                self._record_release(inbound.ref, standing_call, cause)
+            elif established_call is not None:
+                self._record_release(inbound.ref, established_call, cause)
 
     def on_circuit_freed(self, cic: int) -> None:
         """RLC has crossed: the circuit is idle on both sides."""
@@ -514,21 +524,21 @@
                 del self.expectations[what, ref]
                 self.add_violation(f"not {what}", f"{ref}, due {now - due} us ago")
         for (hub_name, ref), since in list(self.unresolved_answers.items()):
-            if now > since + RELEASE_LIMIT_US:
+            if now > since + RELEASE_DEADLINE_US:
                 del self.unresolved_answers[hub_name, ref]
                 self.add_violation(
                     "late answer not undone", f"{ref} at {hub_name}, {now - since} us after its 200"
                 )
         for offer in self.offers:
-            if offer.open and offer.answer_due and now > offer.due_us:
-                offer.answer_due = False
+            if offer.open and offer.answer_required and now > offer.due_us:
+                offer.answer_required = False
                 self.add_violation("no answer", f"{offer.ref}, due {now - offer.due_us} us ago")
-            left_us = offer.given_up_us
+            left_us = offer.abandoned_us
             if (
                 left_us is not None
                 and offer.attempts
                 and offer.attempts[-1].end_us is None
-                and (now > left_us + CANCEL_LIMIT_US)
+                and (now > left_us + CANCEL_DEADLINE_US)
             ):
                 offer.attempts[-1].end_us = now
                 late = f"{now - left_us} us after its caller gave it up"
--- a/barleywheel/fuzz/scripts.py
+++ b/barleywheel/fuzz/scripts.py
@@ -293,10 +293,8 @@
         self.checker.env = self.env
         self.env.exchange.on_link_lost = self._on_link_lost
         self.hub_names = {cell: f"h{cell}" for cell in (*HUB_CELLS, EXCHANGE_CELL)}
-        self.dead: set[int] = set()
         self.replacement_count = 0
         self.crowd_number = 100
-        self.trouble = False  # something may have cost evidence: fewer tables are looked at in the end
 
     # What the world hears; a model that can't read the router's bytes says so.
 
@@ -443,8 +441,8 @@
     def do_raw(self, conn: int, which: int) -> None:
         """What can't be read, or should not be."""
         if (peer_caller := self._caller_connection(conn)) is not None:
-            self.checker.malformed_callers.add(peer_caller)
-            self.checker.ignored_ids.add(MALFORMED_REF)
+            self.checker.closable_callers.add(peer_caller)
+            self.checker.ignored_refs.add(MALFORMED_REF)
             peer_caller.transport.write(MALFORMED_CALLER_DATA[which % len(MALFORMED_CALLER_DATA)])
 
     def do_hang(self, conn: int, reset: int = 0) -> None:
@@ -459,7 +457,7 @@
         """A caller stops reading, or goes on."""
         peer_caller = self.env.callers.get(conn)
         if peer_caller is not None and peer_caller.open:
-            self.checker.malformed_callers.add(peer_caller)
+            self.checker.closable_callers.add(peer_caller)
             peer_caller.transport.set_reading(bool(on))  # type: ignore[attr-defined]
 
     def do_crowd(self, count: int) -> None:
@@ -467,7 +465,7 @@
         for _ in range(min(count, 48)):
             self.crowd_number += 1
             if (peer_caller := self.env.caller_connection(self.crowd_number)) is not None:
-                self.checker.malformed_callers.add(peer_caller)
+                self.checker.closable_callers.add(peer_caller)
 
     # Hubs.
 
@@ -524,7 +522,7 @@
         peer_hub = self._hub(cell)
         if peer_hub.conns:
             raw = MALFORMED_HUB_DATA[which % len(MALFORMED_HUB_DATA)]
-            self.checker.on_hub_failed(peer_hub.name, dead=False)
+            self.checker.on_hub_failed(peer_hub.name, gone=False)
             self.checker.unknown_releases["ffff03aa00000002"] = 1
             peer_hub.conns[-1].transport.write(raw)
 
@@ -536,7 +534,7 @@
         """A hub's process dies, its machine vanishes, or its connections end."""
         peer_hub = self._hub(cell)
         address = hub_address(peer_hub.name)
-        self.checker.on_hub_failed(peer_hub.name, dead=False)
+        self.checker.on_hub_failed(peer_hub.name, gone=False)
         if how == "die":
             self.env.network.hosts.pop(address, None)
             peer_hub.standing.clear()
@@ -575,7 +573,7 @@
                 if told["status"] == "Ready":
                     self.checker.on_hub_ready(told["name"])
                 else:
-                    self.checker.on_hub_closed(told["name"])
+                    self.checker.on_hub_draining(told["name"])
 
     def do_list(self, cell: int, status: str) -> None:
         """The list tells a hub's state."""
@@ -583,13 +581,13 @@
         if status == "Ready":
             self.checker.on_hub_ready(name)
         elif status == "Gone":
-            self.checker.on_hub_failed(name, dead=True)
+            self.checker.on_hub_failed(name, gone=True)
         self._publish([hub_endpoint(name, status)])
 
     def do_replace(self, cell: int, overlap: int = 0, cold: int = 0) -> None:
         """A hub gives way to a new one at its address, which may still hear its calls."""
         old = self.hub_names[cell]
-        self.checker.on_hub_failed(old, dead=True)
+        self.checker.on_hub_failed(old, gone=True)
         self.replacement_count += 1
         name = self.hub_names[cell] = f"h{cell}r{self.replacement_count}"
         if not overlap:
@@ -702,8 +700,8 @@
     def _on_link_lost(self) -> None:
         for offer in self.checker.inbound_circuits.values():
             if offer.open:
-                offer.given_up_us = self.env.now_us
-        self.checker.on_hub_failed("h4", dead=False)
+                offer.abandoned_us = self.env.now_us
+        self.checker.on_hub_failed("h4", gone=False)
         for offer in self.checker.outbound_circuits.values():
             for one in offer.attempts:
                 if one.hub_name == "h4" and one.end_us is None:
@@ -760,22 +758,26 @@
         checker.released_by[cic] = "exchange"
         if inbound is not None:
             if inbound.open:
-                inbound.given_up_us = self.env.now_us
+                inbound.abandoned_us = self.env.now_us
             elif (
-                standing_call := checker.standing.get(inbound.ref)
-            ) is not None and not standing_call.ended_by:
-                standing_call.ended_by = "caller"
-                if not standing_call.uncertain:
+                established_call := checker.established_calls.get(inbound.ref)
+            ) is not None and not established_call.ended_by:
+                established_call.ended_by = "caller"
+                if not established_call.may_have_ended:
                     checker.expect("hub released", inbound.ref, 1_000_000)
         if outbound is not None:
             last = outbound.attempts[-1]
             if last.hub_name == "h4" and last.end_us is None:
                 last.end_us, last.guarded = self.env.now_us, cause == 41 or bool(reset)
             checker.unresolved_answers.pop(("h4", outbound.ref), None)
-            standing_call = checker.standing.get(outbound.ref)
-            if standing_call is not None and standing_call.hub_name == "h4" and not standing_call.ended_by:
-                standing_call.ended_by = "hub"
-                if checker.caller_reachable() and not standing_call.uncertain:
+            established_call = checker.established_calls.get(outbound.ref)
+            if (
+                established_call is not None
+                and established_call.hub_name == "h4"
+                and not established_call.ended_by
+            ):
+                established_call.ended_by = "hub"
+                if checker.caller_reachable() and not established_call.may_have_ended:
                     checker.expect("caller told", outbound.ref, 1_000_000)
         peer_exchange.write(
             exchange.encode_data(cic, exchange.RSC) if reset else exchange.encode_rel(cic, cause)
@@ -891,12 +893,12 @@
         """Every call ends; then the tables must be empty."""
         env, checker, router = self.env, self.checker, self.env.router
         # A call of the exchange's that went out over the exchange has shown its id to nobody.
-        unseen = sum(not ref.isalnum() for ref in checker.standing)
+        unseen = sum(not ref.isalnum() for ref in checker.established_calls)
         for ref in list(router.established.legs):
-            standing_call = checker.standing.get(ref)
-            if standing_call is None and not unseen:
+            established_call = checker.established_calls.get(ref)
+            if established_call is None and not unseen:
                 checker.add_violation("call invented", f"{ref} stands in the router's books alone")
-            unseen -= standing_call is None
+            unseen -= established_call is None
             if (one := env.caller_connection(90)) is not None:
                 checker.on_caller_release(ref)
                 one.transport.write(caller.encode_message("down", ref, c=16))
