--- a/barleywheel/fuzz/rules.py
+++ b/barleywheel/fuzz/rules.py
@@ -137,7 +137,7 @@
         established_call = self.established_calls.get(ref)
         if offer is not None:
             offer.abandoned_us = self.env.now_us
-            self.count("given up")
+            self.count("call abandoned")
         elif established_call is not None and not established_call.ended_by:
             established_call.ended_by = "caller"
             self.count("released by caller")
@@ -157,7 +157,7 @@
 
     def on_router_closed(self, caller: Caller, reset: bool) -> None:
         """The router closed a caller's connection."""
-        self.count("hung up on")
+        self.count("connection closed by router")
         if caller in self.closable_callers or self.env.terminated:
             self.on_caller_closed(caller)
             return
@@ -287,7 +287,7 @@
                 "release invented", f"{ref} with {cause}: it still stands at {established_call.hub_name}"
             )
         established_call.ended_by = established_call.ended_by or "router"
-        self.count("release told")
+        self.count("release sent to caller")
         del self.established_calls[ref]
         self.unknown_releases.setdefault(ref, 0)
 
@@ -349,7 +349,7 @@
     def on_given_up(self, at_hub: hub.Hub, setup: hub.Setup) -> None:
         """It was cancelled, or its connection ended."""
         self._end_attempt(setup.ref, at_hub.name, guarded=True)
-        self.count("attempt given up")
+        self.count("attempt abandoned")
 
     def _end_attempt(self, ref: str, hub_name: str, guarded: bool = False, succeeded: bool = False) -> None:
         for offer in reversed(self.offers_by_ref.get(ref, [])):
@@ -362,7 +362,7 @@
         """A hub answers."""
         if status < 200 or any(before >= 200 for before in setup.answers):
             return  # a second copy: the router acknowledges it and does no more
-        self.count(f"hub says {status}")
+        self.count(f"hub response {status}")
         if setup.open:
             self._end_attempt(setup.ref, at_hub.name, guarded=status == 504, succeeded=status < 300)
         if status < 300:
@@ -471,25 +471,25 @@
                 self.add_violation("set-up of nobody's", f"IAM on {cic} with {found!r}")
                 return
             self.outbound_circuits[cic] = offer
-            self.count("IAM heard")
+            self.count("IAM received")
             self.on_attempt(offer, "h4", 4, found, offer.number)
         elif kind == exchange.ANM:
             if inbound is None:
                 self.add_violation("answer to nobody", f"ANM on {cic}")
             elif self._record_answer(inbound, "up"):
                 self._record_established(inbound, found)
-                self.count("ANM heard")
+                self.count("ANM received")
         elif kind == exchange.REL:
             self._on_circuit_released(cic, inbound, outbound, body[4] & 0x7F)
         elif kind == exchange.RLC:
             if self.released_by.pop(cic, "") != "exchange" and cic not in self.released_by:
-                self.count("RLC of nobody's")
+                self.count("RLC without a release")
 
     def _on_circuit_released(
         self, cic: int, inbound: OfferedCall | None, outbound: OfferedCall | None, cause: int
     ) -> None:
         self.released_by[cic] = "router"
-        self.count("REL heard")
+        self.count("REL received")
         if outbound is not None:
             self._end_attempt(outbound.ref, "h4", guarded=True)
             established_call = self.established_calls.get(outbound.ref)
--- a/tests/test_fuzz.py
+++ b/tests/test_fuzz.py
@@ -68,7 +68,7 @@
 def test_the_whole_router_serves_a_call_in_memory() -> None:
     runner = ScriptRunner()
     assert not runner.run(CALL)
-    assert runner.checker.counts["answer up"] >= 1 and runner.checker.counts["release told"] >= 1
+    assert runner.checker.counts["answer up"] >= 1 and runner.checker.counts["release sent to caller"] >= 1
 
 
 def test_a_second_answer_is_found_and_made_small(monkeypatch: pytest.MonkeyPatch) -> None:
