--- a/barleywheel/fuzz/rules.py
+++ b/barleywheel/fuzz/rules.py
@@ -1,8 +1,7 @@
-"""The rules of service, checked from outside: by what crosses the router's sockets and when.
+"""Checks the router's service rules from outside, by the traffic on its sockets and its timing.
 
-Time is virtual and a model hears bytes in the instant in which they are written, so "before" and "after"
-are exact; where two things happen in one instant, either order is allowed. A violation is a rule's name and
-what was seen.
+Time is virtual and a peer model receives bytes in the instant in which they are written, so "before" and
+"after" are exact. Where two events happen in the same instant, either order is allowed.
 """
 
 from __future__ import annotations
@@ -14,16 +13,22 @@
 from barleywheel.standins.caller import Caller
 from barleywheel.virtual.environment import GUARD_US, HOME_CELL, MAX_ATTEMPTS, START_US, VirtualEnvironment
 
+# How long after the router learns that a hub is draining or gone it may still send that hub a set-up.
 DRAIN_GRACE_US = 250_000
+# A release must reach the other side of the call, and a late 200 must be released, within this time.
 RELEASE_DEADLINE_US = 1_000_000
-CANCEL_DEADLINE_US = 300_000  # until a hub must have heard that a set-up was given up
-TERM_ACCEPT_WINDOW_US = 700_000  # set-ups later than this after SIGTERM are owed nothing
+# A hub must receive the cancel of an abandoned set-up within this time.
+CANCEL_DEADLINE_US = 300_000
+# Set-ups that arrive later than this after SIGTERM need no answer.
+TERM_ACCEPT_WINDOW_US = 700_000
+# Q.850 causes with which the router rejects a set-up: no circuit, temporary failure, switching equipment
+# congestion, invalid message, timer expiry.
 REJECTION_CAUSES = {34, 41, 42, 95, 102}
 
 
 @dataclass(frozen=True)
 class Violation:
-    """A rule broken: its name, which tells findings apart, and what was seen."""
+    """A broken rule. ``rule`` identifies the finding; ``seen`` says what the checker observed."""
 
     rule: str
     seen: str
@@ -31,28 +36,28 @@
 
 @dataclass(eq=False)
 class Attempt:
-    """One attempt, as hubs see it."""
+    """One attempt, as observed at its hub or at the exchange."""
 
     hub_name: str
-    at_us: int
+    started_us: int
     end_us: int | None = None
-    guarded: bool = False  # it ended by a time-out, a reset or a cancel
+    guarded: bool = False  # ended by a time-out, a reset or a cancel: the guard time applies
     succeeded: bool = False
 
 
 @dataclass(eq=False)
 class OfferedCall:
-    """One set-up of a caller's (or of the exchange: then ``caller`` is None and ``cic`` its circuit)."""
+    """A set-up from a caller, or from the exchange: then ``caller`` is None and ``cic`` is its circuit."""
 
     ref: str
     caller: Caller | None
-    at_us: int
-    due_us: int
+    offered_us: int
+    due_us: int  # deadline of the final answer
     destination: int
     description: bytes
-    number: str = "7f3a"
+    called_number: str = "7f3a"
     transit: bool = False
-    is_duplicate: bool = False  # under an id that is in use: owed one rejection
+    is_duplicate: bool = False  # its id is in use, so it must be rejected once
     answer_required: bool = True
     cic: int = -1
     answers: list[str] = field(default_factory=list)
@@ -61,23 +66,26 @@
 
     @property
     def open(self) -> bool:
-        """Whether an answer is still owed."""
+        """Whether the call is still waiting for its final answer."""
         return not self.answers and self.abandoned_us is None
 
 
 @dataclass(eq=False)
 class EstablishedCall:
-    """A call that stands."""
+    """A call that was answered and reported to its caller as up."""
 
     offer: OfferedCall
     hub_name: str
-    ended_by: str = ""  # who ended it
-    releases_sent: int = 0  # releases told to the caller's side
-    may_have_ended: bool = False  # the router can't know whether it still stands
+    ended_by: str = ""  # the side that released it: caller, hub or router
+    releases_sent: int = 0  # releases that the router sent to the caller's side
+    may_have_ended: bool = False  # after a fault the router can't know whether the call is still up
 
 
 class RuleChecker:
-    """Watches one virtual environment."""
+    """Observes the peers of one router in a virtual environment and records each broken rule.
+
+    Attempts over the exchange are recorded under its hub name ``h4``.
+    """
 
     def __init__(self) -> None:
         self.env: VirtualEnvironment
@@ -85,38 +93,44 @@
         self.offers: list[OfferedCall] = []
         self.offers_by_ref: dict[str, list[OfferedCall]] = {}
         self.established_calls: dict[str, EstablishedCall] = {}
-        # 200s that somebody has to account for: hub, id -> when.
+        # 200s of hubs that the router has neither passed on as an answer nor released: (hub, id) -> time.
         self.unresolved_answers: dict[tuple[str, str], int] = {}
-        self.unknown_releases: dict[str, int] = {}  # releases of calls that never stood here: id -> how many
-        self.expectations: dict[tuple[str, str], tuple[int, str]] = {}  # what must be seen, id -> until when
-        # Hub -> when the router was told that it drains or is gone.
+        # Releases that callers may still receive for calls that were never established here: id -> number.
+        self.unknown_releases: dict[str, int] = {}
+        # Events that the router must cause: (event, id) -> deadline.
+        self.expectations: dict[tuple[str, str], tuple[int, str]] = {}
+        # Hub -> time at which the router was notified that it is draining or gone.
         self.draining_since_us: dict[str, int] = {}
-        self.gone_hubs: set[str] = set()  # hubs that the journal calls gone, whether that was heard or not
+        # Hubs that the journal lists as gone, even if the router has not read that yet.
+        self.gone_hubs: set[str] = set()
         self.term_us: int | None = None
-        self.ignored_refs: set[str] = set()  # ids that only unusable lines name
-        self.known_callers: set[Caller] = set()  # connections on which something usable was sent
-        self.closable_callers: set[Caller] = set()  # connections that have carried what is no message
-        self.inbound_circuits: dict[int, OfferedCall] = {}  # of the exchange: our call there, by circuit
-        self.outbound_circuits: dict[int, OfferedCall] = {}  # circuits that the router took
-        self.released_by: dict[int, str] = {}  # circuits whose REL awaits its RLC: who sent it
+        self.ignored_refs: set[str] = set()  # ids that occur in malformed lines only
+        self.known_callers: set[Caller] = set()  # connections that have sent a valid message
+        # Connections that the router may close: they sent malformed data, stopped reading or stay silent.
+        self.closable_callers: set[Caller] = set()
+        self.inbound_circuits: dict[int, OfferedCall] = {}  # seized by the exchange: CIC -> call
+        self.outbound_circuits: dict[int, OfferedCall] = {}  # seized by the router: CIC -> call
+        self.released_by: dict[int, str] = {}  # circuits that await RLC: CIC -> sender of the REL
         self.counts: dict[str, int] = {}
 
     def add_violation(self, rule: str, seen: str) -> None:
-        """Note a violation."""
+        """Record a violation, with the virtual time since the start."""
         self.violations.append(Violation(rule, f"at {(self.env.now_us - START_US) / 1e6:.6f} s: {seen}"))
 
-    def count(self, what: str) -> None:
-        """Something was reached."""
-        self.counts[what] = self.counts.get(what, 0) + 1
+    def count(self, feature: str) -> None:
+        """Count an event as a feature that the input reached."""
+        self.counts[feature] = self.counts.get(feature, 0) + 1
 
     # Offers.
 
     def on_offer(self, offer: OfferedCall) -> None:
-        """A set-up has been written whole."""
+        """A set-up was written completely."""
         before = self.offers_by_ref.setdefault(offer.ref, [])
         established_call = self.established_calls.get(offer.ref)
         offer.is_duplicate = (
-            any(one.open for one in before) or established_call is not None and not established_call.ended_by
+            any(earlier.open for earlier in before)
+            or established_call is not None
+            and not established_call.ended_by
         )
         if self.term_us is not None and self.env.now_us > self.term_us + TERM_ACCEPT_WINDOW_US:
             offer.answer_required = False
@@ -126,13 +140,14 @@
             self.known_callers.add(offer.caller)
 
     def open_offer(self, ref: str) -> OfferedCall | None:
-        """The set-up under an id that is being served."""
+        """The unanswered set-up under an id, leaving out duplicates."""
         return next(
-            (one for one in self.offers_by_ref.get(ref, ()) if one.open and not one.is_duplicate), None
+            (offer for offer in self.offers_by_ref.get(ref, ()) if offer.open and not offer.is_duplicate),
+            None,
         )
 
     def on_caller_release(self, ref: str) -> None:
-        """The caller's side wrote a release or hung up."""
+        """The caller's side sent a release."""
         offer = self.open_offer(ref)
         established_call = self.established_calls.get(ref)
         if offer is not None:
@@ -141,16 +156,16 @@
         elif established_call is not None and not established_call.ended_by:
             established_call.ended_by = "caller"
             self.count("released by caller")
-            one = self.env.hubs.get(established_call.hub_name)
+            hub_model = self.env.hubs.get(established_call.hub_name)
             if (
-                one is not None
+                hub_model is not None
                 and established_call.hub_name not in self.gone_hubs
                 and not established_call.may_have_ended
             ):
                 self.expect("hub released", ref, RELEASE_DEADLINE_US)
 
     def on_caller_closed(self, caller: Caller) -> None:
-        """A caller hung up: what was open on its connection is given up."""
+        """A caller closed its connection, which abandons its open set-ups."""
         for offer in self.offers:
             if offer.caller is caller and offer.open:
                 offer.abandoned_us = self.env.now_us
@@ -164,7 +179,8 @@
         for offer in self.offers:
             if offer.caller is caller and offer.open:
                 self.add_violation(
-                    "lost with its connection", f"{offer.ref} was open on a connection that was closed"
+                    "lost with its connection",
+                    f"{offer.ref} was unanswered when the router closed its connection",
                 )
 
     # Lines to callers.
@@ -178,7 +194,7 @@
         elif kind == "down":
             self._on_down(caller, ref, message["c"])
         elif kind == "hb_ok" and message.get("c") not in (0, 1):
-            self.add_violation("test", f"hb_ok with {message!r}")
+            self.add_violation("test", f"invalid hb_ok: {message!r}")
 
     def _record_answer(self, offer: OfferedCall, kind: str) -> bool:
         now = self.env.now_us
@@ -187,32 +203,33 @@
             return False
         if offer.abandoned_us is not None and offer.abandoned_us < now:
             self.add_violation(
-                "answer after down", f"{offer.ref}: {kind}, given up {now - offer.abandoned_us} us before"
+                "answer after down", f"{offer.ref}: {kind}, abandoned {now - offer.abandoned_us} us before"
             )
         if now > offer.due_us:
             self.add_violation(
-                "late answer", f"{offer.ref}: {kind} {now - offer.due_us} us after its caller had gone"
+                "late answer", f"{offer.ref}: {kind} {now - offer.due_us} us after the deadline"
             )
         offer.answers.append(kind)
         self.count(f"answer {kind}")
         return True
 
-    def _offer_on(self, caller: Caller | None, ref: str) -> OfferedCall | None:
-        own = [one for one in self.offers_by_ref.get(ref, ()) if one.caller is caller]
-        waiting = [one for one in own if not one.answers]
-        return waiting[0] if waiting else own[-1] if own else None
+    def _offer_on_connection(self, caller: Caller | None, ref: str) -> OfferedCall | None:
+        """The connection's first unanswered set-up under an id, else its latest one."""
+        own = [offer for offer in self.offers_by_ref.get(ref, ()) if offer.caller is caller]
+        unanswered = [offer for offer in own if not offer.answers]
+        return unanswered[0] if unanswered else own[-1] if own else None
 
     def _on_up(self, caller: Caller | None, ref: str, message: dict[str, Any]) -> None:
         offer = next(
             (
-                one
-                for one in self.offers_by_ref.get(ref, ())
-                if one.caller is caller and not one.is_duplicate and not one.answers
+                offer
+                for offer in self.offers_by_ref.get(ref, ())
+                if offer.caller is caller and not offer.is_duplicate and not offer.answers
             ),
-            self._offer_on(caller, ref),
+            self._offer_on_connection(caller, ref),
         )
         if offer is None:
-            self.add_violation("answer to nobody", f"{ref} stands on a connection that never asked")
+            self.add_violation("answer to nobody", f"up for {ref} on a connection that sent no such set-up")
             return
         if not self._record_answer(offer, "up"):
             return
@@ -221,35 +238,35 @@
     def _record_established(self, offer: OfferedCall, description: bytes) -> None:
         last = offer.attempts[-1] if offer.attempts else None
         if last is None or not last.succeeded:
-            self.add_violation("served by nobody", f"{offer.ref} stands and no hub answered it")
+            self.add_violation("served by nobody", f"{offer.ref} is reported up but no hub answered it")
             return
-        given = hub.hub_description(last.hub_name, offer.ref)
-        if description != given:
-            self.add_violation("description", f"{offer.ref}: {description!r} in place of {given!r}")
+        expected = hub.hub_description(last.hub_name, offer.ref)
+        if description != expected:
+            self.add_violation("description", f"{offer.ref}: {description!r} instead of {expected!r}")
         established_call = self.established_calls[offer.ref] = EstablishedCall(offer, last.hub_name)
         self.unresolved_answers.pop((last.hub_name, offer.ref), None)
         unknown = last.hub_name.encode() not in self.env.router.hubs.hubs and last.hub_name != "h4"
         if last.hub_name in self.gone_hubs or unknown:
-            established_call.may_have_ended = True  # the router takes it for another at that address
+            established_call.may_have_ended = True  # the router takes it for another hub at that address
 
     def _on_down(self, caller: Caller | None, ref: str, cause: int) -> None:
         established_call = self.established_calls.get(ref)
-        again = next(
+        duplicate = next(
             (
-                one
-                for one in self.offers_by_ref.get(ref, ())
-                if one.caller is caller and one.is_duplicate and not one.answers
+                offer
+                for offer in self.offers_by_ref.get(ref, ())
+                if offer.caller is caller and offer.is_duplicate and not offer.answers
             ),
             None,
         )
         own = [
-            one
-            for one in self.offers_by_ref.get(ref, ())
-            if one.caller is caller and not one.answers and not one.is_duplicate
+            offer
+            for offer in self.offers_by_ref.get(ref, ())
+            if offer.caller is caller and not offer.answers and not offer.is_duplicate
         ]
-        waiting = next((one for one in own if one.open), own[0] if own else None)
-        if again is not None and cause == 95:
-            self._record_answer(again, "rejected")
+        waiting = next((offer for offer in own if offer.open), own[0] if own else None)
+        if duplicate is not None and cause == 95:
+            self._record_answer(duplicate, "rejected")
         elif (
             established_call is not None
             and established_call.ended_by == "hub"
@@ -265,13 +282,13 @@
                 and waiting.attempts[-1].end_us is None
                 and not waiting.attempts[-1].succeeded
             ):
-                self.add_violation("answered with an attempt out", f"{ref}: {cause}")
+                self.add_violation("answered with an attempt out", f"{ref}: rejected with cause {cause}")
         elif established_call is not None:
             self._record_release(ref, established_call, cause)
-        elif (offer := self._offer_on(caller, ref)) is not None:
+        elif (offer := self._offer_on_connection(caller, ref)) is not None:
             self._record_answer(offer, f"down {cause}")
         elif not self.unknown_releases.get(ref):
-            self.add_violation("release to nobody", f"{ref} with {cause}")
+            self.add_violation("release to nobody", f"{ref} with cause {cause}: no such call")
         else:
             self.unknown_releases[ref] -= 1
 
@@ -279,12 +296,12 @@
         established_call.releases_sent += 1
         self.expectations.pop(("caller told", ref), None)
         if established_call.releases_sent > 1:
-            self.add_violation("release told twice", f"{ref} with {cause}")
+            self.add_violation("release told twice", f"{ref} with cause {cause}")
         elif established_call.ended_by == "caller" and not established_call.may_have_ended:
-            self.add_violation("release told to who released", f"{ref} with {cause}")
+            self.add_violation("release told to who released", f"{ref} with cause {cause}")
         elif not established_call.ended_by and not established_call.may_have_ended:
             self.add_violation(
-                "release invented", f"{ref} with {cause}: it still stands at {established_call.hub_name}"
+                "release invented", f"{ref} with cause {cause}: it is still up at {established_call.hub_name}"
             )
         established_call.ended_by = established_call.ended_by or "router"
         self.count("release sent to caller")
@@ -294,7 +311,7 @@
     # Hubs: see ``standins.hub.HubObserver``.
 
     def on_setup(self, at_hub: hub.Hub, setup: hub.Setup) -> None:
-        """An INVITE came whole."""
+        """A hub received a complete INVITE."""
         message = setup.message
         offer = self.open_offer(setup.ref) or next(
             (o for o in self.offers if o.caller is None and o.description == message.body and o.open), None
@@ -304,21 +321,26 @@
             offer.ref = setup.ref
         if offer is None:
             known = self.offers_by_ref.get(setup.ref)
-            gave_up = known[-1].abandoned_us if known else None
-            if gave_up is None or gave_up < self.env.now_us:
+            abandoned_us = known[-1].abandoned_us if known else None
+            if abandoned_us is None or abandoned_us < self.env.now_us:
                 self.add_violation(
-                    "set-up of nobody's", f"{setup.ref} at {at_hub.name}: no call is open under that id"
+                    "set-up of nobody's", f"{setup.ref} at {at_hub.name}: no call with that id is waiting"
                 )
             return
         self.on_attempt(offer, at_hub.name, at_hub.cell, message.body, message.number)
-        left_ms = (offer.due_us - self.env.now_us) // 1000
-        if int(message.headers["X-Patience"]) > left_ms + 1:
+        time_left_ms = (offer.due_us - self.env.now_us) // 1000
+        if int(message.headers["X-Patience"]) > time_left_ms + 1:
             self.add_violation(
-                "patience", f"{setup.ref}: {message.headers['X-Patience']} ms, {left_ms} are left"
+                "patience",
+                f"{setup.ref}: X-Patience is {message.headers['X-Patience']} ms with {time_left_ms} ms left",
             )
 
     def on_attempt(self, offer: OfferedCall, hub_name: str, cell: int, body: bytes, number: str) -> None:
-        """An attempt was made."""
+        """The router started an attempt at a hub or at the exchange.
+
+        Checks that no other attempt of the call is out, the guard time, the number of attempts, the drain
+        state of the hub, the route, and that the description and the called number are unchanged.
+        """
         now, ref = self.env.now_us, offer.ref
         if offer.attempts:
             last = offer.attempts[-1]
@@ -327,41 +349,45 @@
             elif last.guarded and now < last.end_us + GUARD_US:
                 self.add_violation(
                     "guard",
-                    f"{ref} at {hub_name} {now - last.end_us} us after the attempt at {last.hub_name}",
+                    f"{ref} at {hub_name} {now - last.end_us} us after the broken attempt at {last.hub_name}",
                 )
         offer.attempts.append(Attempt(hub_name, now))
         self.count(f"attempt {len(offer.attempts)}")
         if len(offer.attempts) > MAX_ATTEMPTS:
-            self.add_violation("attempts", f"{ref}: {len(offer.attempts)} of them")
+            self.add_violation("attempts", f"{ref}: {len(offer.attempts)} attempts, limit {MAX_ATTEMPTS}")
         if now > self.draining_since_us.get(hub_name, now) + DRAIN_GRACE_US:
             self.add_violation(
-                "drain", f"{ref} at {hub_name}, told {now - self.draining_since_us[hub_name]} us before"
+                "drain",
+                f"{ref} at {hub_name}, notified as draining or gone "
+                f"{now - self.draining_since_us[hub_name]} us before",
             )
         if cell == HOME_CELL or offer.destination < 0 or offer.transit and cell != offer.destination:
-            self.add_violation("route", f"{ref} for {offer.destination} at {hub_name}")
+            self.add_violation("route", f"{ref} for cell {offer.destination} at {hub_name}")
         if body != offer.description:
             self.add_violation(
-                "description", f"{ref} at {hub_name}: {body!r} in place of {offer.description!r}"
+                "description", f"{ref} at {hub_name}: {body!r} instead of {offer.description!r}"
+            )
+        if number != offer.called_number:
+            self.add_violation(
+                "number", f"{ref} at {hub_name}: {number!r} instead of {offer.called_number!r}"
             )
-        if number != offer.number:
-            self.add_violation("number", f"{ref} at {hub_name}: {number!r} in place of {offer.number!r}")
 
     def on_given_up(self, at_hub: hub.Hub, setup: hub.Setup) -> None:
-        """It was cancelled, or its connection ended."""
+        """The router cancelled a set-up, or the connection that carried it ended."""
         self._end_attempt(setup.ref, at_hub.name, guarded=True)
         self.count("attempt abandoned")
 
     def _end_attempt(self, ref: str, hub_name: str, guarded: bool = False, succeeded: bool = False) -> None:
         for offer in reversed(self.offers_by_ref.get(ref, [])):
-            for one in reversed(offer.attempts):
-                if one.hub_name == hub_name and one.end_us is None:
-                    one.end_us, one.guarded, one.succeeded = self.env.now_us, guarded, succeeded
+            for attempt in reversed(offer.attempts):
+                if attempt.hub_name == hub_name and attempt.end_us is None:
+                    attempt.end_us, attempt.guarded, attempt.succeeded = self.env.now_us, guarded, succeeded
                     return
 
     def on_answering(self, at_hub: hub.Hub, setup: hub.Setup, status: int) -> None:
-        """A hub answers."""
+        """A hub is about to send a response."""
         if status < 200 or any(before >= 200 for before in setup.answers):
-            return  # a second copy: the router acknowledges it and does no more
+            return  # provisional, or a retransmission, which the router only acknowledges
         self.count(f"hub response {status}")
         if setup.open:
             self._end_attempt(setup.ref, at_hub.name, guarded=status == 504, succeeded=status < 300)
@@ -371,7 +397,7 @@
                 self.count("late answer")
 
     def on_acknowledged(self, at_hub: hub.Hub, ref: str) -> None:
-        """An ACK came."""
+        """A hub received an ACK."""
         self.expectations.pop(("acknowledged", ref), None)
 
     def on_released(self, at_hub: hub.Hub, ref: str) -> None:
@@ -391,7 +417,11 @@
             self.add_violation(
                 "release invented",
                 f"{ref} at {at_hub.name} while "
-                + ("it stands" if established_call and not established_call.ended_by else "nothing stands"),
+                + (
+                    "the call is up"
+                    if established_call and not established_call.ended_by
+                    else "no call is up"
+                ),
             )
 
     def on_releasing(self, at_hub: hub.Hub, ref: str) -> None:
@@ -408,35 +438,35 @@
             if self.env.exchange.active if established_call.offer.caller is None else self.caller_reachable():
                 self.expect("caller told", ref, RELEASE_DEADLINE_US)
         elif pending is None and self.open_offer(ref) is None and established_call is None:
-            self.unknown_releases[ref] = 1  # one more within 30 s is taken for a repeat and told no more
+            self.unknown_releases[ref] = 1  # a repeat within 30 s is not passed on
         elif pending is not None:
-            # Ended before it was passed on: told after the answer.
+            # Released before the router passed the answer on: the caller gets the answer, then the release.
             self.unresolved_answers[at_hub.name, ref] = pending
 
     def caller_reachable(self) -> bool:
-        """Whether some connection is open that a release to callers may go to."""
+        """Whether a caller connection is open to which the router must send releases."""
         return any(
-            one.open and one in self.known_callers and one not in self.closable_callers
-            for one in self.env.callers.values()
+            caller.open and caller in self.known_callers and caller not in self.closable_callers
+            for caller in self.env.callers.values()
         )
 
-    def expect(self, what: str, ref: str, within_us: int) -> None:
-        """Something must be seen before long."""
-        self.expectations[what, ref] = (self.env.now_us + within_us, what)
+    def expect(self, event: str, ref: str, within_us: int) -> None:
+        """Require an event for a call by a deadline; the rule is then called ``not <event>``."""
+        self.expectations[event, ref] = (self.env.now_us + within_us, event)
 
-    # Troubles, told by the script.
+    # Faults and state changes that the script causes.
 
     def on_hub_draining(self, name: str) -> None:
-        """The router has been told that a hub drains or is gone."""
+        """The router was notified that a hub is draining or gone."""
         self.draining_since_us.setdefault(name, self.env.now_us)
 
     def on_hub_ready(self, name: str) -> None:
-        """A hub is to be listed as ready again."""
+        """The journal lists a hub as ready again, or is about to."""
         self.draining_since_us.pop(name, None)
         self.gone_hubs.discard(name)
 
     def on_hub_failed(self, name: str, gone: bool) -> None:
-        """A hub's process or machine is in trouble: what stood there may be told as over at any time."""
+        """A hub's process, machine or connection failed, so the router may release its calls at any time."""
         for ref, established_call in self.established_calls.items():
             if established_call.hub_name == name:
                 established_call.may_have_ended = True
@@ -448,7 +478,7 @@
             self.gone_hubs.add(name)
 
     def waive_expectations(self) -> None:
-        """Connections were ended by the script: what was on its way on them may be lost."""
+        """Drop all expectations: the script closed connections, which may lose messages in transit."""
         self.expectations.clear()
         for established_call in self.established_calls.values():
             established_call.may_have_ended = True
@@ -456,26 +486,28 @@
     # The exchange.
 
     def on_exchange_offer(self, cic: int, offer: OfferedCall) -> None:
-        """The exchange sent an IAM on a circuit that it holds idle."""
+        """The exchange sent an IAM on a circuit that is idle on its side."""
         self.inbound_circuits[cic] = offer
         self.offers.append(offer)
 
-    def on_isup(self, one: exchange.Exchange, cic: int, kind: int, body: bytes, found: bytes) -> None:
-        """See ``standins.exchange.MessageHandler``: what the router sends on a circuit."""
+    def on_isup(
+        self, peer_exchange: exchange.Exchange, cic: int, kind: int, body: bytes, found: bytes
+    ) -> None:
+        """See ``standins.exchange.MessageHandler``: the router sent an ISUP message."""
         inbound, outbound = self.inbound_circuits.get(cic), self.outbound_circuits.get(cic)
         if kind == exchange.IAM:
             if outbound is not None or inbound is not None and "ACM" in inbound.answers:
-                self.add_violation("circuit taken twice", f"IAM on {cic}")
+                self.add_violation("circuit taken twice", f"IAM on circuit {cic}")
             offer = next((o for o in self.offers if o.description == found and o.open), None)
             if offer is None:
-                self.add_violation("set-up of nobody's", f"IAM on {cic} with {found!r}")
+                self.add_violation("set-up of nobody's", f"IAM on circuit {cic} with {found!r}")
                 return
             self.outbound_circuits[cic] = offer
             self.count("IAM received")
-            self.on_attempt(offer, "h4", 4, found, offer.number)
+            self.on_attempt(offer, "h4", 4, found, offer.called_number)
         elif kind == exchange.ANM:
             if inbound is None:
-                self.add_violation("answer to nobody", f"ANM on {cic}")
+                self.add_violation("answer to nobody", f"ANM on circuit {cic}")
             elif self._record_answer(inbound, "up"):
                 self._record_established(inbound, found)
                 self.count("ANM received")
@@ -496,33 +528,35 @@
             if established_call is not None and established_call.hub_name == "h4":
                 self.expectations.pop(("hub released", outbound.ref), None)
                 if established_call.ended_by != "caller" and not established_call.may_have_ended:
-                    self.add_violation("release invented", f"REL {cause} on {cic} while it stands")
+                    self.add_violation(
+                        "release invented", f"REL with cause {cause} on circuit {cic} while the call is up"
+                    )
                 del self.established_calls[outbound.ref]
             self.unresolved_answers.pop(("h4", outbound.ref), None)
         elif inbound is not None:
             established_call = self.established_calls.get(inbound.ref)
             if inbound.abandoned_us is not None:
-                pass  # the circuit alone is released
+                pass  # the caller is gone: only the circuit is released
             elif not inbound.answers:
                 self._record_answer(inbound, "refused" if cause in (34, 42, 102) else "failed")
             elif established_call is not None:
                 self._record_release(inbound.ref, established_call, cause)
 
     def on_circuit_freed(self, cic: int) -> None:
-        """RLC has crossed: the circuit is idle on both sides."""
+        """RLC was exchanged: the circuit is idle on both sides."""
         self.inbound_circuits.pop(cic, None)
         self.outbound_circuits.pop(cic, None)
         self.released_by.pop(cic, None)
 
-    # Now and then.
+    # Deadlines.
 
     def check_overdue(self) -> None:
-        """What must have been seen by now."""
+        """Record a violation for each event whose deadline has passed; called by the script runner."""
         now = self.env.now_us
-        for (what, ref), (due, _) in list(self.expectations.items()):
-            if now > due:
-                del self.expectations[what, ref]
-                self.add_violation(f"not {what}", f"{ref}, due {now - due} us ago")
+        for (event, ref), (due_us, _) in list(self.expectations.items()):
+            if now > due_us:
+                del self.expectations[event, ref]
+                self.add_violation(f"not {event}", f"{ref}, due {now - due_us} us ago")
         for (hub_name, ref), since in list(self.unresolved_answers.items()):
             if now > since + RELEASE_DEADLINE_US:
                 del self.unresolved_answers[hub_name, ref]
@@ -533,13 +567,13 @@
             if offer.open and offer.answer_required and now > offer.due_us:
                 offer.answer_required = False
                 self.add_violation("no answer", f"{offer.ref}, due {now - offer.due_us} us ago")
-            left_us = offer.abandoned_us
+            abandoned_us = offer.abandoned_us
             if (
-                left_us is not None
+                abandoned_us is not None
                 and offer.attempts
                 and offer.attempts[-1].end_us is None
-                and (now > left_us + CANCEL_DEADLINE_US)
+                and (now > abandoned_us + CANCEL_DEADLINE_US)
             ):
                 offer.attempts[-1].end_us = now
-                late = f"{now - left_us} us after its caller gave it up"
+                late = f"{now - abandoned_us} us after its caller abandoned it"
                 self.add_violation("not cancelled", f"{offer.ref} at {offer.attempts[-1].hub_name}, {late}")
--- a/barleywheel/fuzz/scripts.py
+++ b/barleywheel/fuzz/scripts.py
@@ -408,8 +408,8 @@
             data, offer = self._make_offer(peer_caller, call, destination, gold, left_ms, flags, number)
             self.checker.on_offer(offer)
             peer_caller.transport.write(data)
-            if offer.at_us > self.env.now_us:
-                self.env.run(offer.at_us - self.env.now_us)
+            if offer.offered_us > self.env.now_us:
+                self.env.run(offer.offered_us - self.env.now_us)
 
     def do_drip(self, conn: int, call: int, destination: int, size: int = 1, gap_us: int = 0) -> None:
         """A set-up in pieces of so many bytes, each read before the next comes."""
