--- a/barleywheel/fuzz/scripts.py
+++ b/barleywheel/fuzz/scripts.py
@@ -1,8 +1,8 @@
-"""Scripts for the whole router: steps by name, how to make them up, and how to play them.
+"""Generates and runs fuzz scripts against the whole router.
 
-A step is a list: its name, then whole numbers and words. A script is a list of steps; what it says of a
-thing that is not there (the third set-up of a hub that got two) is taken round, or is nothing, so that
-every list of steps is a script and any step may be left out.
+A script is a list of steps. A step is a list of a step name followed by integers and strings. An index that
+is out of range (the third set-up of a hub that received two) wraps round, or the step does nothing. So every
+list of steps is a valid script, and any step may be removed.
 """
 
 from __future__ import annotations
@@ -26,10 +26,28 @@
 from barleywheel.virtual.runtime import BusyLoopError
 
 Step = list[Any]
-CALLER_COUNT, CALL_COUNT, CIRCUIT_COUNT, MAX_STEPS = 3, 12, 6, 40
-WAITS_US = (0, 1, 1000, 20_000, 80_000, 100_000, 299_000, 300_000, 500_000, 1_000_000, 1_200_000, 2_500_000)
-TIMES_LEFT_MS = (0, 1, 12, 100, 400, 800, 1200, 1201, 3000, 9000, 20_000)
-HUB_STATUSES = (
+CALLER_COUNT = 3
+CALL_COUNT = 12
+CIRCUIT_COUNT = 6
+MAX_SCRIPT_STEPS = 40
+# Waits and times left include values just round the 300 ms guard time and the class limits.
+WAIT_CHOICES_US = (
+    0,
+    1,
+    1000,
+    20_000,
+    80_000,
+    100_000,
+    299_000,
+    300_000,
+    500_000,
+    1_000_000,
+    1_200_000,
+    2_500_000,
+)
+TIME_LEFT_CHOICES_MS = (0, 1, 12, 100, 400, 800, 1200, 1201, 3000, 9000, 20_000)
+# (weight, status and X-Note) of a scripted hub response.
+HUB_STATUS_WEIGHTS = (
     (6, "200"),
     (2, "503"),
     (2, "503 throttled"),
@@ -44,7 +62,8 @@
     (1, "302"),
     (1, "699"),
 )
-HUB_MODES = (
+# (weight, mode): see ``standins.hub.Hub``.
+HUB_MODE_WEIGHTS = (
     (6, "stand"),
     (4, "hold"),
     (1, "503 throttled"),
@@ -54,11 +73,13 @@
     (1, "504"),
     (1, "480"),
 )
-CALL_FLAGS = ((8, ""), (1, "r"), (2, "t"), (1, "a"), (1, "rt"))
+# (weight, flags): see ``standins.caller.encode_setup``.
+CALL_FLAG_WEIGHTS = ((8, ""), (1, "r"), (2, "t"), (1, "a"), (1, "rt"))
 CALLED_NUMBERS = ("7f3a", "0", "ffffffffffffffff", "3")
-HUB_CAUSES = (16, 31, 127)
-# What a script that is not thorough waits in its end: releases are owed within 1 s.
-QUICK_CHECK_US = 1_300_000
+HUB_RELEASE_CAUSES = (16, 31, 127)
+# Wait at the end of a script that is run without the recovery check. Longer than the 1 s within which a
+# release must be sent.
+QUICK_CHECK_SETTLE_US = 1_300_000
 MALFORMED_REF = "eeee03aa00000001"
 MALFORMED_CALLER_DATA = (
     b"\n",
@@ -146,24 +167,24 @@
 
 
 def call_ref(call: int) -> str:
-    """The id of a script's call."""
+    """The id of a call of the script."""
     return f"{0x9B1F03AA00000000 + call:016x}"
 
 
 def call_description(call: int) -> bytes:
-    """Its description: bytes that no text codec leaves alone, told apart by the call."""
+    """A description that is unique to the call and contains bytes that no text codec preserves."""
     return b'd%d\r\nc=IN\r\n\xff\xfe\x00\x7f"\\\n' % call
 
 
-def make_script(source: Source, max_steps: int = MAX_STEPS) -> list[Step]:
-    """A script made up."""
+def make_script(source: Source, max_steps: int = MAX_SCRIPT_STEPS) -> list[Step]:
+    """Generate a script from the choices of ``source``."""
     steps: list[Step] = []
-    calm = source.below(3) == 0  # a third of all scripts has calls and few troubles
+    few_faults = source.below(3) == 0  # in a third of all scripts
     for _ in range(1 + source.below(max_steps)):
-        kind = pick_weighted(source, CALM_WEIGHTS if calm else ROUGH_WEIGHTS)
+        kind = pick_weighted(source, FEW_FAULTS_STEP_WEIGHTS if few_faults else MANY_FAULTS_STEP_WEIGHTS)
         steps.append([kind, *STEP_MAKERS[kind](source)])
         if source.below(2):
-            steps.append(["wait", pick(source, WAITS_US)])
+            steps.append(["wait", pick(source, WAIT_CHOICES_US)])
     return steps
 
 
@@ -173,8 +194,8 @@
         source.below(CALL_COUNT),
         1 + source.below(4),
         source.below(4) == 0,
-        pick_weighted(source, ((6, 3000), (1, pick(source, TIMES_LEFT_MS)))),
-        pick_weighted(source, CALL_FLAGS),
+        pick_weighted(source, ((6, 3000), (1, pick(source, TIME_LEFT_CHOICES_MS)))),
+        pick_weighted(source, CALL_FLAG_WEIGHTS),
         source.below(len(CALLED_NUMBERS)) if source.below(4) == 0 else 0,
     ]
 
@@ -186,7 +207,7 @@
         s.below(CALL_COUNT),
         1 + s.below(4),
         1 + s.below(300),
-        pick(s, WAITS_US[:5]),
+        pick(s, WAIT_CHOICES_US[:5]),
     ],
     "down": lambda s: [s.below(CALLER_COUNT), s.below(CALL_COUNT), pick(s, (16, 16, 0, 200, True))],
     "test": lambda s: [s.below(CALLER_COUNT)],
@@ -196,13 +217,13 @@
     "crowd": lambda s: [s.below(48)],
     "mode": lambda s: [
         pick(s, HUB_CELLS),
-        pick_weighted(s, HUB_MODES),
+        pick_weighted(s, HUB_MODE_WEIGHTS),
         pick(s, (0, 0, 1000, 50_000, 400_000, 1_200_000)),
     ],
-    "answer": lambda s: [pick(s, HUB_CELLS), s.below(6), pick_weighted(s, HUB_STATUSES)],
+    "answer": lambda s: [pick(s, HUB_CELLS), s.below(6), pick_weighted(s, HUB_STATUS_WEIGHTS)],
     "copy": lambda s: [pick(s, HUB_CELLS), s.below(6)],
-    "bye": lambda s: [pick(s, HUB_CELLS), s.below(6), pick(s, HUB_CAUSES)],
-    "stray": lambda s: [pick(s, HUB_CELLS), s.below(CALL_COUNT), pick(s, HUB_CAUSES)],
+    "bye": lambda s: [pick(s, HUB_CELLS), s.below(6), pick(s, HUB_RELEASE_CAUSES)],
+    "stray": lambda s: [pick(s, HUB_CELLS), s.below(CALL_COUNT), pick(s, HUB_RELEASE_CAUSES)],
     "spoil": lambda s: [pick(s, HUB_CELLS), s.below(len(MALFORMED_HUB_DATA))],
     "gauge": lambda s: [pick(s, HUB_CELLS), pick(s, (0, 1, 5, 20))],
     "lose": lambda s: [pick(s, HUB_CELLS), pick(s, ("die", "vanish", "reset", "close", "deaf"))],
@@ -230,10 +251,10 @@
     "snmp": lambda s: [s.below(len(MALFORMED_SNMP_DATA))],
     "clock": lambda s: [pick(s, (-1_000_000, 1_000_000, -3_600_000_000, 86_400_000_000))],
     "descriptors": lambda s: [1 + s.below(4)],
-    "wait": lambda s: [pick(s, WAITS_US)],
+    "wait": lambda s: [pick(s, WAIT_CHOICES_US)],
 }
 HUB_STEPS = {"mode", "answer", "copy", "bye", "stray", "spoil", "gauge", "lose", "mend", "list", "replace"}
-CALM_WEIGHTS = (
+FEW_FAULTS_STEP_WEIGHTS = (
     (12, "new"),
     (4, "down"),
     (4, "mode"),
@@ -251,8 +272,8 @@
     (1, "test"),
     (6, "wait"),
 )
-ROUGH_WEIGHTS = (
-    CALM_WEIGHTS
+MANY_FAULTS_STEP_WEIGHTS = (
+    FEW_FAULTS_STEP_WEIGHTS
     + tuple(
         (2 if name in ("lose", "mend", "list", "replace", "link") else 1, name)
         for name in (
@@ -285,7 +306,7 @@
 
 
 class ScriptRunner:
-    """One script played against one router. ``run`` gives the breaches."""
+    """Runs one script against one router and checks the service rules."""
 
     def __init__(self, seed: int = 1) -> None:
         self.checker = RuleChecker()
@@ -294,32 +315,32 @@
         self.env.exchange.on_link_lost = self._on_link_lost
         self.hub_names = {cell: f"h{cell}" for cell in (*HUB_CELLS, EXCHANGE_CELL)}
         self.replacement_count = 0
-        self.crowd_number = 100
+        self.last_idle_caller = 100  # the number of the latest connection of ``do_crowd``
 
-    # What the world hears; a model that can't read the router's bytes says so.
+    # Messages of the router. A model that can't parse them reports a protocol error to the network.
 
-    def _on_message(self, peer_caller: caller.Caller, kind: str, ref: str, message: dict[str, Any]) -> None:
-        self.checker.on_message(peer_caller, kind, ref, message)
+    def _on_message(self, caller_model: caller.Caller, kind: str, ref: str, message: dict[str, Any]) -> None:
+        self.checker.on_message(caller_model, kind, ref, message)
 
-    def _on_close(self, peer_caller: caller.Caller, reset: bool) -> None:
-        self.checker.on_router_closed(peer_caller, reset)
+    def _on_close(self, caller_model: caller.Caller, reset: bool) -> None:
+        self.checker.on_router_closed(caller_model, reset)
 
     def _on_isup(
-        self, peer_exchange: exchange.Exchange, cic: int, kind: int, body: bytes, found: bytes
+        self, exchange_model: exchange.Exchange, cic: int, kind: int, body: bytes, found: bytes
     ) -> None:
-        self.checker.on_isup(peer_exchange, cic, kind, body, found)
-        if kind == exchange.IAM and peer_exchange.answers_calls:
+        self.checker.on_isup(exchange_model, cic, kind, body, found)
+        if kind == exchange.IAM and exchange_model.answers_calls:
             self.env.runtime.after(0, lambda: self._send_answer(cic))
-        elif kind == exchange.REL and peer_exchange.completes_releases:
+        elif kind == exchange.REL and exchange_model.completes_releases:
             self.env.runtime.after(0, lambda: self._complete_release(cic))
         elif kind == exchange.RLC:
             self.checker.on_circuit_freed(cic)
 
     def run(self, steps: list[Step], thorough: bool = True) -> list[Violation]:
-        """Play a script and what belongs behind it; the breaches in the order in which they were seen.
+        """Run a script and return the violations in the order of their detection.
 
-        What belongs behind it takes far longer than most scripts; where it is left out, what is owed when the
-        script ends is looked at all the same.
+        With ``thorough`` a recovery check follows, which takes far longer than most scripts. Without it, or
+        after SIGTERM, the answers and releases that are due when the script ends are checked all the same.
         """
         checker = self.checker
         try:
@@ -336,23 +357,24 @@
                 if not checker.violations and (thorough or checker.term_us is not None):
                     self._check_recovery()
                 elif not checker.violations:
-                    self.env.run(QUICK_CHECK_US)
+                    self.env.run(QUICK_CHECK_SETTLE_US)
                     checker.check_overdue()
-                self.env.terminated = True  # what is closed from here on is closed by us
+                # Connections that are closed from here on are closed by the teardown, not by the router.
+                self.env.terminated = True
                 self._check_internal_errors()
         except BusyLoopError as error:
             checker.add_violation("busy loop", str(error))
         return checker.violations
 
     def _run_step(self, step: Step) -> None:
-        """One step; a hub that there is none of is taken round."""
+        """Run one step; the number of a hub that does not exist wraps round."""
         name, *rest = step
         if name in HUB_STEPS and rest[0] not in HUB_CELLS:
             rest[0] = HUB_CELLS[rest[0] % len(HUB_CELLS)]
         getattr(self, f"do_{name}")(*rest)
 
     def _check_internal_errors(self) -> None:
-        """What must never be, whatever came."""
+        """Unparsable output, a greenlet ended by an exception and an ERROR log line are always violations."""
         for message in self.env.network.protocol_errors:
             self.checker.add_violation("unreadable", message)
         for error in self.env.runtime.uncaught_errors:
@@ -362,31 +384,38 @@
 
     # Callers.
 
-    def _caller_connection(self, number: int) -> caller.Caller | None:
+    def _connect_caller(self, number: int) -> caller.Caller | None:
         return self.env.caller_connection(number)
 
     def _make_offer(
         self,
-        peer_caller: caller.Caller,
+        caller_model: caller.Caller,
         call: int,
         destination: int,
         gold: bool,
-        left_ms: int,
+        time_left_ms: int,
         flags: str,
         number: int,
     ) -> tuple[bytes, OfferedCall]:
         name = "gold" if gold else "voice"
         data = caller.encode_setup(
-            call_ref(call), destination, call_description(call), name, left_ms, CALLED_NUMBERS[number], flags
+            call_ref(call),
+            destination,
+            call_description(call),
+            name,
+            time_left_ms,
+            CALLED_NUMBERS[number],
+            flags,
         )
-        valid = 0 < left_ms <= DEADLINE_US_BY_CLASS[name] // 1000 + 1000
-        # While descriptors are short the router tries again each 50 ms: what waits to be accepted is late.
+        valid = 0 < time_left_ms <= DEADLINE_US_BY_CLASS[name] // 1000 + 1000
+        # While descriptors are short the router retries its accept every 50 ms, so that a connection waiting
+        # to be accepted delays the set-up by up to 60 ms for each failed accept.
         now = self.env.now_us + 60_000 * sum(x.accept_failures for x in self.env.network.listeners.values())
         return data, OfferedCall(
             call_ref(call),
-            peer_caller,
+            caller_model,
             now,
-            now + (left_ms * 1000 if valid else 10_000_000),
+            now + (time_left_ms * 1000 if valid else 10_000_000),
             destination,
             call_description(call),
             CALLED_NUMBERS[number],
@@ -399,73 +428,75 @@
         call: int,
         destination: int,
         gold: bool = False,
-        left_ms: int = 3000,
+        time_left_ms: int = 3000,
         flags: str = "",
         number: int = 0,
     ) -> None:
-        """A set-up."""
-        if (peer_caller := self._caller_connection(conn)) is not None:
-            data, offer = self._make_offer(peer_caller, call, destination, gold, left_ms, flags, number)
+        """A caller sends a set-up."""
+        if (caller_model := self._connect_caller(conn)) is not None:
+            data, offer = self._make_offer(caller_model, call, destination, gold, time_left_ms, flags, number)
             self.checker.on_offer(offer)
-            peer_caller.transport.write(data)
+            caller_model.transport.write(data)
             if offer.offered_us > self.env.now_us:
                 self.env.run(offer.offered_us - self.env.now_us)
 
     def do_drip(self, conn: int, call: int, destination: int, size: int = 1, gap_us: int = 0) -> None:
-        """A set-up in pieces of so many bytes, each read before the next comes."""
-        if (peer_caller := self._caller_connection(conn)) is None:
+        """A caller sends a set-up in pieces of ``size`` bytes, each read before the next is sent."""
+        if (caller_model := self._connect_caller(conn)) is None:
             return
-        data, _ = self._make_offer(peer_caller, call, destination, False, 3000, "", 0)
+        data, _ = self._make_offer(caller_model, call, destination, False, 3000, "", 0)
         if gap_us * (len(data) // size) > 2_000_000:
             gap_us = 0
         for at in range(0, len(data), size):
-            if not peer_caller.open:
+            if not caller_model.open:
                 return
             if at + size >= len(data):
-                self.checker.on_offer(self._make_offer(peer_caller, call, destination, False, 3000, "", 0)[1])
-            peer_caller.transport.write(data[at : at + size])
+                self.checker.on_offer(
+                    self._make_offer(caller_model, call, destination, False, 3000, "", 0)[1]
+                )
+            caller_model.transport.write(data[at : at + size])
             self.env.run(gap_us)
 
     def do_down(self, conn: int, call: int, cause: int = 16) -> None:
-        """A caller gives up a set-up, or releases a call."""
-        if (peer_caller := self._caller_connection(conn)) is not None:
+        """A caller abandons a set-up, or releases a call."""
+        if (caller_model := self._connect_caller(conn)) is not None:
             self.checker.on_caller_release(call_ref(call))
-            peer_caller.transport.write(caller.encode_message("down", call_ref(call), c=cause))
+            caller_model.transport.write(caller.encode_message("down", call_ref(call), c=cause))
 
     def do_test(self, conn: int) -> None:
-        """A test."""
-        if (peer_caller := self._caller_connection(conn)) is not None:
-            self.checker.known_callers.add(peer_caller)
-            peer_caller.transport.write(caller.encode_message("hb", "1", c=0))
+        """A caller sends a heartbeat test."""
+        if (caller_model := self._connect_caller(conn)) is not None:
+            self.checker.known_callers.add(caller_model)
+            caller_model.transport.write(caller.encode_message("hb", "1", c=0))
 
     def do_raw(self, conn: int, which: int) -> None:
-        """What can't be read, or should not be."""
-        if (peer_caller := self._caller_connection(conn)) is not None:
-            self.checker.closable_callers.add(peer_caller)
+        """A caller sends malformed or invalid data."""
+        if (caller_model := self._connect_caller(conn)) is not None:
+            self.checker.closable_callers.add(caller_model)
             self.checker.ignored_refs.add(MALFORMED_REF)
-            peer_caller.transport.write(MALFORMED_CALLER_DATA[which % len(MALFORMED_CALLER_DATA)])
+            caller_model.transport.write(MALFORMED_CALLER_DATA[which % len(MALFORMED_CALLER_DATA)])
 
     def do_hang(self, conn: int, reset: int = 0) -> None:
-        """A caller hangs up, or its connection is reset."""
-        peer_caller = self.env.callers.get(conn)
-        if peer_caller is not None and peer_caller.open:
-            self.checker.on_caller_closed(peer_caller)
+        """A caller closes or resets its connection."""
+        caller_model = self.env.callers.get(conn)
+        if caller_model is not None and caller_model.open:
+            self.checker.on_caller_closed(caller_model)
             self.checker.waive_expectations()
-            peer_caller.close(bool(reset))
+            caller_model.close(bool(reset))
 
     def do_stall(self, conn: int, on: int = 0) -> None:
-        """A caller stops reading, or goes on."""
-        peer_caller = self.env.callers.get(conn)
-        if peer_caller is not None and peer_caller.open:
-            self.checker.closable_callers.add(peer_caller)
-            peer_caller.transport.set_reading(bool(on))  # type: ignore[attr-defined]
+        """A caller stops reading, or resumes."""
+        caller_model = self.env.callers.get(conn)
+        if caller_model is not None and caller_model.open:
+            self.checker.closable_callers.add(caller_model)
+            caller_model.transport.set_reading(bool(on))  # type: ignore[attr-defined]
 
     def do_crowd(self, count: int) -> None:
-        """Connections that say nothing."""
+        """Callers open connections and send nothing."""
         for _ in range(min(count, 48)):
-            self.crowd_number += 1
-            if (peer_caller := self.env.caller_connection(self.crowd_number)) is not None:
-                self.checker.closable_callers.add(peer_caller)
+            self.last_idle_caller += 1
+            if (caller_model := self.env.caller_connection(self.last_idle_caller)) is not None:
+                self.checker.closable_callers.add(caller_model)
 
     # Hubs.
 
@@ -473,95 +504,95 @@
         return self.env.hubs[self.hub_names[cell]]
 
     def do_mode(self, cell: int, mode: str = "stand", delay_us: int = 0) -> None:
-        """What a hub does with set-ups."""
-        peer_hub = self._hub(cell)
-        peer_hub.mode, peer_hub.delay_us = mode, delay_us
+        """Set how a hub responds to set-ups, and after what delay."""
+        hub_model = self._hub(cell)
+        hub_model.mode, hub_model.delay_us = mode, delay_us
 
     def do_answer(self, cell: int, which: int, status: str = "200") -> None:
-        """A hub answers a set-up: the so many'th from the last."""
-        peer_hub = self._hub(cell)
-        if peer_hub.setups:
+        """A hub responds to a set-up; ``which`` counts from the latest."""
+        hub_model = self._hub(cell)
+        if hub_model.setups:
             code, _, note = status.partition(" ")
-            setup = peer_hub.setups[-1 - which % len(peer_hub.setups)]
+            setup = hub_model.setups[-1 - which % len(hub_model.setups)]
             if not any(before >= 200 for before in setup.answers):
-                peer_hub.answer(setup, int(code), note)
+                hub_model.answer(setup, int(code), note)
 
     def do_copy(self, cell: int, which: int) -> None:
-        """A second copy of an answer."""
-        peer_hub = self._hub(cell)
-        done = [setup for setup in peer_hub.setups if any(status >= 200 for status in setup.answers)]
-        if done:
-            setup = done[-1 - which % len(done)]
+        """A hub retransmits a final response."""
+        hub_model = self._hub(cell)
+        answered = [setup for setup in hub_model.setups if any(status >= 200 for status in setup.answers)]
+        if answered:
+            setup = answered[-1 - which % len(answered)]
             if setup.conn.open:
-                body = hub.hub_description(peer_hub.name, setup.ref) if setup.answers[-1] < 300 else b""
+                body = hub.hub_description(hub_model.name, setup.ref) if setup.answers[-1] < 300 else b""
                 setup.conn.transport.write(hub.answer(setup.message, setup.answers[-1], body))
 
     def do_bye(self, cell: int, which: int, cause: int = 16) -> None:
-        """A hub releases a call that stands there."""
-        peer_hub = self._hub(cell)
-        if peer_hub.standing and peer_hub.conns:
-            refs = list(peer_hub.standing)
-            peer_hub.bye(refs[-1 - which % len(refs)], cause)
+        """A hub releases one of its established calls."""
+        hub_model = self._hub(cell)
+        if hub_model.standing and hub_model.conns:
+            refs = list(hub_model.standing)
+            hub_model.bye(refs[-1 - which % len(refs)], cause)
 
     def do_stray(self, cell: int, call: int, cause: int = 16) -> None:
-        """A hub releases a call, whether it has it or not, and answers a set-up that it never got."""
-        peer_hub = self._hub(cell)
-        if peer_hub.conns:
-            if call_ref(call) not in peer_hub.standing and not any(
+        """A hub releases a call that no hub has, and responds to a set-up that it never received."""
+        hub_model = self._hub(cell)
+        if hub_model.conns:
+            if call_ref(call) not in hub_model.standing and not any(
                 call_ref(call) in other.standing for other in self.env.hubs.values()
             ):
-                peer_hub.bye(call_ref(call), cause)
-            conn = peer_hub.conns[0]
+                hub_model.bye(call_ref(call), cause)
+            conn = hub_model.conns[0]
             conn.transport.write(
                 b"SIP/2.0 200 OK\r\nCall-ID: ffff0000ffff0000\r\nCSeq: 1 INVITE\r\n"
                 b"Content-Length: 2\r\n\r\nzz"
             )
 
     def do_spoil(self, cell: int, which: int) -> None:
-        """A hub writes what can't be read."""
-        peer_hub = self._hub(cell)
-        if peer_hub.conns:
+        """A hub sends malformed data."""
+        hub_model = self._hub(cell)
+        if hub_model.conns:
             raw = MALFORMED_HUB_DATA[which % len(MALFORMED_HUB_DATA)]
-            self.checker.on_hub_failed(peer_hub.name, gone=False)
+            self.checker.on_hub_failed(hub_model.name, gone=False)
             self.checker.unknown_releases["ffff03aa00000002"] = 1
-            peer_hub.conns[-1].transport.write(raw)
+            hub_model.conns[-1].transport.write(raw)
 
     def do_gauge(self, cell: int, free: int) -> None:
-        """The state of a group."""
+        """A hub reports its number of free circuits."""
         self._hub(cell).send_state(free)
 
     def do_lose(self, cell: int, how: str) -> None:
-        """A hub's process dies, its machine vanishes, or its connections end."""
-        peer_hub = self._hub(cell)
-        address = hub_address(peer_hub.name)
-        self.checker.on_hub_failed(peer_hub.name, gone=False)
+        """A hub's process dies, its machine becomes unreachable, its connections end, or it fails checks."""
+        hub_model = self._hub(cell)
+        address = hub_address(hub_model.name)
+        self.checker.on_hub_failed(hub_model.name, gone=False)
         if how == "die":
             self.env.network.hosts.pop(address, None)
-            peer_hub.standing.clear()
+            hub_model.standing.clear()
         elif how == "vanish":
             self.env.network.unreachable.add(address)
-            for conn in peer_hub.conns:
+            for conn in hub_model.conns:
                 conn.transport.silent = True  # type: ignore[attr-defined]
-            for setup in peer_hub.setups:
+            for setup in hub_model.setups:
                 if setup.open:
-                    self.checker.on_given_up(peer_hub, setup)
+                    self.checker.on_given_up(hub_model, setup)
                     setup.open = False
-            peer_hub.conns.clear()
-            peer_hub.standing.clear()
+            hub_model.conns.clear()
+            hub_model.standing.clear()
             return
         elif how == "deaf":
-            peer_hub.ignores_options = True
+            hub_model.ignores_options = True
             return
-        for conn in list(peer_hub.conns):
+        for conn in list(hub_model.conns):
             conn.close(reset=how != "close")
 
     def do_mend(self, cell: int) -> None:
-        """A hub serves again."""
-        peer_hub = self._hub(cell)
-        address = hub_address(peer_hub.name)
-        peer_hub.ignores_options = False
+        """A hub's process, machine and answers to checks are restored."""
+        hub_model = self._hub(cell)
+        address = hub_address(hub_model.name)
+        hub_model.ignores_options = False
         self.env.network.unreachable.discard(address)
-        self.env.network.hosts[address] = peer_hub.accept_connection
+        self.env.network.hosts[address] = hub_model.accept_connection
 
     # The journal.
 
@@ -569,14 +600,14 @@
         self.env.journal.publish(endpoints, skip=skip)
         self.env.run(0)
         if self.env.router.journal.pos >= self.env.journal.pos:
-            for told in endpoints:
-                if told["status"] == "Ready":
-                    self.checker.on_hub_ready(told["name"])
+            for endpoint in endpoints:
+                if endpoint["status"] == "Ready":
+                    self.checker.on_hub_ready(endpoint["name"])
                 else:
-                    self.checker.on_hub_draining(told["name"])
+                    self.checker.on_hub_draining(endpoint["name"])
 
     def do_list(self, cell: int, status: str) -> None:
-        """The list tells a hub's state."""
+        """The journal publishes a hub's state."""
         name = self.hub_names[cell]
         if status == "Ready":
             self.checker.on_hub_ready(name)
@@ -585,7 +616,7 @@
         self._publish([hub_endpoint(name, status)])
 
     def do_replace(self, cell: int, overlap: int = 0, cold: int = 0) -> None:
-        """A hub gives way to a new one at its address, which may still hear its calls."""
+        """A new hub replaces another at its address, and may receive messages for its predecessor's calls."""
         old = self.hub_names[cell]
         self.checker.on_hub_failed(old, gone=True)
         self.replacement_count += 1
@@ -604,7 +635,7 @@
                 conn.close()
 
     def do_journal(self, mode: str) -> None:
-        """The journal service is well, stalls, breaks off or is away."""
+        """The journal service works, stalls, breaks off its answers or refuses connections."""
         journal, hosts = self.env.journal, self.env.network.hosts
         address = self._journal_address()
         journal.mode = mode if mode != "refuse" else "ok"
@@ -623,7 +654,7 @@
         return JOURNAL_ADDRESSES[max(0, self.env.journal_index)]
 
     def do_garble(self, which: int) -> None:
-        """The journal answers with what is no answer, once or more."""
+        """The journal answers its open polls with a malformed body, and further ones for 250 ms."""
         journal = self.env.journal
         journal.mode, journal.bad_body = (
             "garble",
@@ -632,7 +663,7 @@
         self._serve_bad_body()
 
     def do_http(self, which: int) -> None:
-        """The journal answers with what is no HTTP."""
+        """The journal answers its open polls with malformed HTTP, and further ones for 250 ms."""
         journal = self.env.journal
         journal.mode, journal.bad_body = (
             "raw",
@@ -649,17 +680,17 @@
         journal.mode = "ok"
         journal.pos = max(journal.pos, self.env.router.journal.pos)
 
-    def do_skip(self, numbers: int) -> None:
-        """An event whose number leaves some out, or one that was told before comes again."""
+    def do_skip(self, skipped: int) -> None:
+        """The journal skips event numbers, or with 0 repeats its latest event."""
         journal = self.env.journal
-        if numbers:
-            self._publish([hub_endpoint(self.hub_names[1])], skip=numbers)
+        if skipped:
+            self._publish([hub_endpoint(self.hub_names[1])], skip=skipped)
             self.checker.on_hub_ready(self.hub_names[1])
         else:
             journal.entries = journal.entries[-3:] + journal.entries[-1:]
 
     def do_hup(self, how: int) -> None:
-        """SIGHUP: the journal has moved, or not, or the file is spoilt."""
+        """SIGHUP: with 0 the journal has moved, with 2 the configuration file is invalid."""
         if how == 0:
             self.env.move_journal()
         before = self.env.journal_index
@@ -670,7 +701,7 @@
         self.env.journal_index = before
 
     def do_term(self) -> None:
-        """SIGTERM."""
+        """The router receives SIGTERM."""
         if self.checker.term_us is None:
             self.checker.term_us = self.env.now_us
             self.env.terminate()
@@ -678,23 +709,23 @@
     # The exchange.
 
     def do_link(self, how: str) -> None:
-        """The exchange's link comes up, goes down, or loses its ASP."""
-        peer_exchange = self.env.exchange
+        """The exchange's link comes up or ends, its ASP changes state, or BEAT goes unanswered."""
+        exchange_model = self.env.exchange
         if how == "up":
-            if peer_exchange.active:
-                self._on_link_lost()  # ASPUP takes an active one back to inactive (RFC 4666, 4.3.4.1)
+            if exchange_model.active:
+                self._on_link_lost()  # ASPUP makes an active ASP inactive (RFC 4666, 4.3.4.1)
             if self.env.connect_link():
-                peer_exchange.activate()
+                exchange_model.activate()
             return
         if how == "mute":
-            peer_exchange.answers_heartbeats = not peer_exchange.answers_heartbeats
+            exchange_model.answers_heartbeats = not exchange_model.answers_heartbeats
             return
         if how == "inactive":
-            peer_exchange.write(exchange.encode(exchange.ASPIA, exchange.ROUTING_CONTEXT))
+            exchange_model.write(exchange.encode(exchange.ASPIA, exchange.ROUTING_CONTEXT))
         elif how == "down":
-            peer_exchange.write(exchange.encode(exchange.ASPDN, {}))
+            exchange_model.write(exchange.encode(exchange.ASPDN, {}))
         else:
-            peer_exchange.drop(how == "reset")
+            exchange_model.drop(how == "reset")
         self._on_link_lost()
 
     def _on_link_lost(self) -> None:
@@ -703,30 +734,33 @@
                 offer.abandoned_us = self.env.now_us
         self.checker.on_hub_failed("h4", gone=False)
         for offer in self.checker.outbound_circuits.values():
-            for one in offer.attempts:
-                if one.hub_name == "h4" and one.end_us is None:
-                    one.end_us, one.guarded = self.env.now_us, True
-
-    def do_iam(self, cic: int, call: int, number: str = "7f3a", gold: int = 0) -> None:
-        """The exchange sets up a call on a circuit that it holds idle."""
-        peer_exchange, checker = self.env.exchange, self.checker
-        taken = (
+            for attempt in offer.attempts:
+                if attempt.hub_name == "h4" and attempt.end_us is None:
+                    attempt.end_us, attempt.guarded = self.env.now_us, True
+
+    def do_iam(self, cic: int, call: int, number: str = "7f3a", class_index: int = 0) -> None:
+        """The exchange sends an IAM on a circuit that is idle on its side.
+
+        ``class_index`` is 0 for voice, 1 for gold and 2 for a category that no class has.
+        """
+        exchange_model, checker = self.env.exchange, self.checker
+        busy = (
             cic in checker.inbound_circuits or cic in checker.released_by or cic in checker.outbound_circuits
         )
-        if taken or not peer_exchange.active or not 1 <= cic <= CIRCUIT_COUNT:
+        if busy or not exchange_model.active or not 1 <= cic <= CIRCUIT_COUNT:
             return
         now = self.env.now_us
         description = b"x%d-%d-%d" % (cic, call, now % 1_000_000_007)
         if any(offer.description == description for offer in checker.offers):
             return
-        served = gold < 2 and len(number) <= 16
+        served = class_index < 2 and len(number) <= 16
         destination = {"7": 1, "0": 1, "1": 1, "2": 2, "3": 3}.get(number[:1], -1) if served else -1
-        due_us = now + (3_000_000, 2_000_000, 3_000_000)[gold]
+        due_us = now + (3_000_000, 2_000_000, 3_000_000)[class_index]
         checker.on_exchange_offer(
             cic,
             OfferedCall(f"on circuit {cic}", None, now, due_us, destination, description, number, cic=cic),
         )
-        peer_exchange.write(exchange.encode_iam(cic, description, (10, 11, 77)[gold], number))
+        exchange_model.write(exchange.encode_iam(cic, description, (10, 11, 77)[class_index], number))
 
     def _send_answer(self, cic: int) -> None:
         offer = self.checker.outbound_circuits.get(cic)
@@ -746,12 +780,12 @@
             )
 
     def do_rel(self, which: int, cause: int = 16, reset: int = 0) -> None:
-        """The exchange releases or resets a circuit that has a call."""
-        checker, peer_exchange = self.checker, self.env.exchange
-        taken = sorted(set(checker.inbound_circuits) | set(checker.outbound_circuits))
-        if not taken or not peer_exchange.active:
+        """The exchange sends REL, or RSC if ``reset``, on a circuit that has a call."""
+        checker, exchange_model = self.checker, self.env.exchange
+        busy = sorted(set(checker.inbound_circuits) | set(checker.outbound_circuits))
+        if not busy or not exchange_model.active:
             return
-        cic = taken[which % len(taken)]
+        cic = busy[which % len(busy)]
         inbound, outbound = checker.inbound_circuits.get(cic), checker.outbound_circuits.get(cic)
         if cic in checker.released_by:
             return
@@ -779,7 +813,7 @@
                 established_call.ended_by = "hub"
                 if checker.caller_reachable() and not established_call.may_have_ended:
                     checker.expect("caller told", outbound.ref, 1_000_000)
-        peer_exchange.write(
+        exchange_model.write(
             exchange.encode_data(cic, exchange.RSC) if reset else exchange.encode_rel(cic, cause)
         )
 
@@ -790,64 +824,67 @@
             self.checker.on_circuit_freed(cic)
 
     def do_rlc(self, which: int) -> None:
-        """The exchange completes a release that it had left waiting."""
+        """The exchange sends an RLC that it has held back."""
         waiting = [cic for cic, who in self.checker.released_by.items() if who == "router"]
         if waiting:
             self._complete_release(waiting[which % len(waiting)])
 
     def do_exchange(self, answers: int, completes: int) -> None:
-        """Whether the exchange answers calls and completes releases by itself."""
-        peer_exchange = self.env.exchange
-        peer_exchange.answers_calls, peer_exchange.completes_releases = bool(answers), bool(completes)
+        """Set whether the exchange answers calls and completes releases by itself."""
+        exchange_model = self.env.exchange
+        exchange_model.answers_calls, exchange_model.completes_releases = bool(answers), bool(completes)
 
     def do_frame(self, which: int) -> None:
-        """The exchange sends what it should not."""
+        """The exchange sends a malformed or unexpected message."""
         raw = MALFORMED_M3UA_DATA[which % len(MALFORMED_M3UA_DATA)]
         self.env.exchange.write(raw)
-        # What is no frame: nothing behind it would be read as meant.
+        # After a broken message header the router can't parse what follows, so the link is dropped.
         if which % len(MALFORMED_M3UA_DATA) in (0, 2):
             self.env.run(0)
             self.env.exchange.drop()
             self._on_link_lost()
 
-    # The rest.
+    # The operator, the clock and the operating system.
 
     def do_snmp(self, which: int) -> None:
-        """A datagram for the agent."""
+        """The SNMP agent receives a malformed datagram."""
         agent = self.env.network.datagram_sockets[SNMP_LISTEN_ADDRESS]
         agent.deliver(MALFORMED_SNMP_DATA[which % len(MALFORMED_SNMP_DATA)], ("10.5.0.1", 161))
 
     def do_clock(self, by_us: int) -> None:
-        """The system's clock is set."""
+        """The system clock is stepped."""
         self.env.runtime.skew_us += by_us
 
     def do_descriptors(self, count: int) -> None:
-        """No descriptors for so many connections."""
+        """The next ``count`` accepts fail for lack of descriptors."""
         for listener in self.env.network.listeners.values():
             listener.accept_failures += count
 
     def do_wait(self, us: int) -> None:
-        """Time passes, and what must have been seen by then is looked at on the way."""
+        """Time passes."""
         self.env.run(us)
 
-    # What belongs behind every script.
+    # The recovery check after a script.
 
     def _check_recovery(self) -> None:
-        """Everybody is well again; whatever was open ends, and a good caller is served at every hub."""
+        """Undo every fault; open calls must end, and each hub must serve a new call.
+
+        After SIGTERM, instead, the router must exit within 6 s.
+        """
         checker, env = self.checker, self.env
         env.journal.mode = "ok"
         if checker.term_us is not None:
             env.run(6_000_000)
             checker.check_overdue()
             if not env.terminated:
-                checker.add_violation("does not leave", "6 s after SIGTERM")
+                checker.add_violation("does not leave", "still running 6 s after SIGTERM")
             return
         self.do_journal("ok")
         for cell in HUB_CELLS:
             self.do_mend(cell)
-            peer_hub = self._hub(cell)
-            peer_hub.mode, peer_hub.delay_us = "stand", 0
-            peer_hub.send_state(20)
+            hub_model = self._hub(cell)
+            hub_model.mode, hub_model.delay_us = "stand", 0
+            hub_model.send_state(20)
         for number in (0, 1, 2):
             if (conn := env.callers.get(number)) is not None and conn.open:
                 conn.transport.set_reading(True)  # type: ignore[attr-defined]
@@ -864,11 +901,12 @@
         for cell in HUB_CELLS:
             if cell not in served:
                 checker.add_violation(
-                    "not served again", f"no call stands at {self.hub_names[cell]} in 20 tries"
+                    "not served again", f"no call established at {self.hub_names[cell]} in 20 attempts"
                 )
         self._check_tables_empty()
 
     def _serve_every_cell(self) -> set[int]:
+        """Offer calls for each hub's cell, up to 20 times; the cells at which one was established."""
         env, checker, served = self.env, self.checker, set()
         for again in range(20):
             missing = [cell for cell in HUB_CELLS if cell not in served]
@@ -876,13 +914,13 @@
                 break
             for cell in missing:
                 call = 1000 + 10 * again + cell
-                peer_caller = env.caller_connection(90)
-                if peer_caller is None:
-                    checker.add_violation("not served again", "no connection is taken")
+                caller_model = env.caller_connection(90)
+                if caller_model is None:
+                    checker.add_violation("not served again", "the router accepts no connection")
                     return set(HUB_CELLS)
-                data, offer = self._make_offer(peer_caller, call, cell, True, 3000, "", 0)
+                data, offer = self._make_offer(caller_model, call, cell, True, 3000, "", 0)
                 checker.on_offer(offer)
-                peer_caller.transport.write(data)
+                caller_model.transport.write(data)
                 env.run(100_000)
                 if "up" in offer.answers:
                     served.add(cell)
@@ -890,18 +928,18 @@
         return served
 
     def _check_tables_empty(self) -> None:
-        """Every call ends; then the tables must be empty."""
+        """Release every call and close every connection; 40 s later the router's tables must be empty."""
         env, checker, router = self.env, self.checker, self.env.router
-        # A call of the exchange's that went out over the exchange has shown its id to nobody.
-        unseen = sum(not ref.isalnum() for ref in checker.established_calls)
+        # The id of a call that both comes from and goes to the exchange is never sent to a peer.
+        calls_without_ref = sum(not ref.isalnum() for ref in checker.established_calls)
         for ref in list(router.established.legs):
             established_call = checker.established_calls.get(ref)
-            if established_call is None and not unseen:
-                checker.add_violation("call invented", f"{ref} stands in the router's books alone")
-            unseen -= established_call is None
-            if (one := env.caller_connection(90)) is not None:
+            if established_call is None and not calls_without_ref:
+                checker.add_violation("call invented", f"{ref} is established in the router's tables only")
+            calls_without_ref -= established_call is None
+            if (caller_model := env.caller_connection(90)) is not None:
                 checker.on_caller_release(ref)
-                one.transport.write(caller.encode_message("down", ref, c=16))
+                caller_model.transport.write(caller.encode_message("down", ref, c=16))
         env.exchange.drop()
         checker.waive_expectations()
         env.run(1_000_000)
@@ -914,28 +952,36 @@
         tables: dict[str, Any] = {
             "open calls": router.call_manager.open_calls,
             "legs": router.established.legs,
-            "ended ids": router.established.recently_ended,
-            "facade's calls": router.facade._calls,
-            "module's calls": router.facade._module.calls,
+            "ids of ended calls": router.established.recently_ended,
+            "calls of the facade": router.facade._calls,
+            "calls of the decision module": router.facade._module.calls,
             "callers": router.front.callers,
-            "waiting releases": router.front.pending_releases,
+            "pending releases to callers": router.front.pending_releases,
             "set-ups": [
-                key for one in router.hubs.hubs.values() for conn in one.connections for key in conn.setups
+                key
+                for router_hub in router.hubs.hubs.values()
+                for conn in router_hub.connections
+                for key in conn.setups
             ],
-            "releases of hubs": [kept for one in router.hubs.hubs.values() for kept in one.releases],
-            "module's set-ups out": [
+            "pending releases to hubs": [
+                release for router_hub in router.hubs.hubs.values() for release in router_hub.releases
+            ],
+            "set-ups out in the decision module": [
                 call for x in router.facade._module.exchanges.values() for call in x.pending
             ],
+            # A router without calls may have up to 40 greenlets and 16 deadlines.
             "greenlets": [None] * (len(env.runtime.alive) - 40),
             "deadlines": [None] * (len(router.deadlines._due) - 16),
         }
         for name, table in tables.items():
             if table:
-                checker.add_violation("table not empty", f"{name}: {len(table)} after 40 quiet seconds")
+                checker.add_violation(
+                    "table not empty", f"{name}: {len(table)} left after 40 s without traffic"
+                )
 
 
 def run_script(steps: list[Step], thorough: bool = True) -> tuple[list[Violation], dict[str, int]]:
-    """Play a script; its breaches, and what it reached."""
+    """Run a script; its violations, and the features that it reached with their counts."""
     runner = ScriptRunner()
     violations = runner.run(steps, thorough)
     reached = dict(runner.checker.counts)
