--- a/barleywheel/fuzz/source.py
+++ b/barleywheel/fuzz/source.py
@@ -1,4 +1,4 @@
-"""Choices that a generator of inputs makes: from a seed, from bytes, or from hypothesis."""
+"""Sources of choices for input generators: a seed, a byte string, or hypothesis."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 
 class Source(Protocol):
-    """Where choices come from."""
+    """A source of choices."""
 
     def below(self, limit: int) -> int:
-        """A whole number from 0 to ``limit`` - 1."""
+        """An integer from 0 to ``limit`` - 1."""
 
 
 class SeededSource:
-    """From a seed."""
+    """Pseudo-random choices from a seed."""
 
     def __init__(self, seed: int | str) -> None:
         self._random = random.Random(seed)
@@ -28,26 +28,32 @@
 
 
 class ByteSource:
-    """From bytes, two a choice; when they run out, always 0: so a short input is a short script."""
+    """Choices from a byte string: one byte for limits up to 256, else two.
+
+    Every choice is 0 once the bytes are used up, so a short input gives a short script.
+    """
 
     def __init__(self, data: bytes) -> None:
-        self._data, self._at = data, 0
+        self._data, self._offset = data, 0
 
     @property
     def exhausted(self) -> bool:
-        """Whether the bytes have run out."""
-        return self._at >= len(self._data)
+        """Whether all bytes are used up."""
+        return self._offset >= len(self._data)
 
     def below(self, limit: int) -> int:
         """See ``Source``."""
         size = 1 if limit <= 256 else 2
-        taken = self._data[self._at : self._at + size]
-        self._at += size
-        return int.from_bytes(taken, "big") % limit
+        chunk = self._data[self._offset : self._offset + size]
+        self._offset += size
+        return int.from_bytes(chunk, "big") % limit
 
 
 class HypothesisSource:
-    """From hypothesis' draws, which it shrinks by itself. ``data`` is what ``strategies.data`` gives."""
+    """Choices drawn by hypothesis, which shrinks them itself.
+
+    ``data`` is a value of ``hypothesis.strategies.data()``, ``integers`` the strategy of that name.
+    """
 
     def __init__(self, data: Any, integers: Any) -> None:
         self._data, self._integers = data, integers
@@ -58,15 +64,15 @@
 
 
 def pick(source: Source, options: Sequence[T]) -> T:
-    """One of several."""
+    """Choose an option, all equally likely."""
     return options[source.below(len(options))]
 
 
 def pick_weighted(source: Source, options: Sequence[tuple[int, T]]) -> T:
-    """One of several, by weights that are whole numbers."""
-    at = source.below(sum(weight for weight, _ in options))
+    """Choose from (integer weight, option) pairs with a likelihood in proportion to the weight."""
+    remaining = source.below(sum(weight for weight, _ in options))
     for weight, option in options:
-        at -= weight
-        if at < 0:
+        remaining -= weight
+        if remaining < 0:
             return option
     raise AssertionError("no options")
