--- a/barleywheel/fuzz/shrink.py
+++ b/barleywheel/fuzz/shrink.py
@@ -1,4 +1,4 @@
-"""Smaller inputs that break the same rule: parts left out, then numbers made small."""
+"""Shrinks an input that breaks a rule: removes parts, then reduces the numbers in script steps."""
 
 from __future__ import annotations
 
@@ -11,30 +11,30 @@
 
 
 def shrink(fuzz_input: Input, fails: Callable[[Input], bool], seconds: float = SHRINK_SECONDS) -> Input:
-    """The smallest input reached within the time that still fails; deterministic but for that bound."""
-    until = time.monotonic() + seconds
-    best, again = fuzz_input, True
-    while again and time.monotonic() < until:
-        again = False
-        for smaller in _smaller(best):
-            if time.monotonic() > until:
+    """The smallest failing input found within the time limit; deterministic unless the limit is reached."""
+    deadline = time.monotonic() + seconds
+    best, improved = fuzz_input, True
+    while improved and time.monotonic() < deadline:
+        improved = False
+        for candidate in _with_part_removed(best):
+            if time.monotonic() > deadline:
                 break
-            if fails(smaller):
-                best, again = smaller, True
+            if fails(candidate):
+                best, improved = candidate, True
                 break
         else:
             if isinstance(best, list):
-                for simpler in _simpler(best):
-                    if time.monotonic() > until:
+                for simplified in _with_number_reduced(best):
+                    if time.monotonic() > deadline:
                         break
-                    if fails(simpler):
-                        best, again = simpler, True
+                    if fails(simplified):
+                        best, improved = simplified, True
                         break
     return best
 
 
-def _smaller(fuzz_input: Input) -> Iterator[Input]:
-    """Without a part of it, large parts first."""
+def _with_part_removed(fuzz_input: Input) -> Iterator[Input]:
+    """The input without one of its parts, the largest parts first and from the end."""
     size = len(fuzz_input) // 2
     while size >= 1:
         for at in range(len(fuzz_input) - size, -1, -size):
@@ -42,13 +42,13 @@
         size //= 2
 
 
-def _simpler(steps: list[list[Any]]) -> Iterator[list[list[Any]]]:
-    """With one number of one step smaller, one word empty, or one step's tail left out."""
+def _with_number_reduced(steps: list[list[Any]]) -> Iterator[list[list[Any]]]:
+    """The script with one number or flag of one step reduced."""
     for at, step in enumerate(steps):
-        for place in range(1, len(step)):
-            value = step[place]
+        for index in range(1, len(step)):
+            value = step[index]
             for other in _smaller_values(value):
-                yield [*steps[:at], [*step[:place], other, *step[place + 1 :]], *steps[at + 1 :]]
+                yield [*steps[:at], [*step[:index], other, *step[index + 1 :]], *steps[at + 1 :]]
 
 
 def _smaller_values(value: Any) -> list[Any]:
