--- a/barleywheel/fuzz/__init__.py
+++ b/barleywheel/fuzz/__init__.py
@@ -1,1 +1,1 @@
-"""The fuzzer: scripts and bytes, run against what serves, under the rules of service."""
+"""The fuzzer: runs scripts and byte strings against the router and its parsers, and checks the results."""
