--- a/barleywheel/fuzz/engine.py
+++ b/barleywheel/fuzz/engine.py
@@ -1,4 +1,4 @@
-"""Engines: where inputs come from, and what is learnt from what they reached."""
+"""Fuzzing engines: generate inputs, run them, and keep those that reach new features."""
 
 from __future__ import annotations
 
@@ -14,14 +14,18 @@
 from barleywheel.fuzz.targets import Target
 
 MAX_INPUT_BYTES = 20_000
-# Every so many'th script is followed by the long spell in which all must be well again.
+# One script in this many is followed by the recovery check, which takes far longer than most scripts.
 FULL_CHECK_INTERVAL = 8
-NEW_INPUT_INTERVAL = 2  # every so many'th input is new; the others are kept ones, changed
+# On average one input in this many is newly generated; the others are mutations of kept inputs.
+NEW_INPUT_INTERVAL = 2
+MAX_MUTATED_STEPS = 80
+PROGRESS_INTERVAL_S = 0.5
+HYPOTHESIS_MAX_EXAMPLES = 1_000_000  # in effect unlimited: the time limit ends the run
 
 
 @dataclass(frozen=True)
 class Finding:
-    """A rule that an input breaks, the input made small."""
+    """A broken rule and the shrunk input that breaks it."""
 
     target: str
     rule: str
@@ -31,7 +35,7 @@
 
 @dataclass
 class FuzzProgress:
-    """How many inputs, and what they reached."""
+    """The state of a run: inputs so far, features reached, kept inputs, and findings by rule."""
 
     inputs: int = 0
     seconds: float = 0.0
@@ -41,12 +45,12 @@
 
 
 def features(reached: dict[str, int]) -> set[str]:
-    """What an input reached, counts by powers of two."""
+    """The features of an input: each name with its count rounded down to a power of two."""
     return {f"{name} x{1 << (count.bit_length() - 1)}" for name, count in reached.items() if count > 0}
 
 
 class FuzzSession:
-    """One target under the seeded engine: new inputs, and changes of those that reached something new."""
+    """Runs one target under the seeded engine, which generates inputs and mutates those with new features."""
 
     def __init__(self, target: Target, seed: int, corpus: list[CorpusEntry]) -> None:
         self.target, self.progress = target, FuzzProgress()
@@ -55,7 +59,7 @@
         self.pool: list[Input] = list(self.queue)
 
     def next_input(self) -> Input:
-        """The next input: the corpus first."""
+        """The next input: the corpus and the target's seeds first, then new and mutated inputs."""
         if self.queue:
             return self.queue.pop(0)
         if self.target.make is None:
@@ -65,28 +69,29 @@
         return self._mutate_steps()
 
     def _mutate_steps(self) -> Input:
-        """Some steps of one script, and of another; some of them twice, some gone."""
+        """A kept script with steps removed, repeated, swapped, or inserted from another script."""
         assert self.target.make is not None
         source = self.source
         pool = cast(list[list[Any]], self.pool)
-        old = list(pick(source, pool))
+        steps = list(pick(source, pool))
         other = pick(source, pool) if source.below(2) else self.target.make(source)
         for _ in range(1 + source.below(4)):
-            at = source.below(len(old) + 1)
+            at = source.below(len(steps) + 1)
             match source.below(4):
                 case 0:
-                    del old[at : at + 1 + source.below(4)]
+                    del steps[at : at + 1 + source.below(4)]
                 case 1:
                     start = source.below(len(other) + 1)
-                    old[at:at] = other[start : start + 1 + source.below(6)]
-                case 2 if at < len(old):
-                    old.insert(source.below(len(old) + 1), old[at])
-                case _ if at < len(old) and len(old) > 1:
-                    to = source.below(len(old))
-                    old[at], old[to] = old[to], old[at]
-        return old[:80]
+                    steps[at:at] = other[start : start + 1 + source.below(6)]
+                case 2 if at < len(steps):
+                    steps.insert(source.below(len(steps) + 1), steps[at])
+                case _ if at < len(steps) and len(steps) > 1:
+                    to = source.below(len(steps))
+                    steps[at], steps[to] = steps[to], steps[at]
+        return steps[:MAX_MUTATED_STEPS]
 
     def _mutate_bytes(self) -> bytes:
+        """A kept input with bytes changed, removed, or inserted from the target's words or another input."""
         source, words = self.source, self.target.words
         pool = cast(list[bytes], self.pool)
         data = bytearray(pick(source, pool))
@@ -108,7 +113,7 @@
                     data[at:at] = other[start : start + source.below(200)]
                 case 5:
                     data[at:at] = bytes([source.below(256)])
-                case 6 if words:  # a value in place of another: between two marks of a text
+                case 6 if words:  # replace a value up to its delimiter
                     end = at
                     while end < len(data) and data[end] not in b",}]\r\n;":
                         end += 1
@@ -118,7 +123,10 @@
         return bytes(data[:MAX_INPUT_BYTES])
 
     def run_one(self) -> Violation | None:
-        """Run one input; the first violation of a rule that was not yet found broken, shrunk and noted."""
+        """Run one input and keep it if it reaches a new feature without a violation.
+
+        Returns its first violation if that rule was not found broken before, and records the shrunk finding.
+        """
         fuzz_input = self.next_input()
         quick_check = self.target.quick_check if self.progress.inputs % FULL_CHECK_INTERVAL else None
         violations, reached = quick_check(fuzz_input) if quick_check else self.target.check(fuzz_input)
@@ -136,14 +144,17 @@
         return None
 
     def run(self, seconds: float, inputs: int, report: Callable[[FuzzProgress], None]) -> FuzzProgress:
-        """Run for so long, or for so many inputs (0: no bound); ``report`` hears twice a second."""
+        """Run until the time or the number of inputs is reached (0: no limit).
+
+        ``report`` is called with the progress twice a second and at the end.
+        """
         start = last_report = time.monotonic()
         while (not inputs or self.progress.inputs < inputs) and (
             not seconds or time.monotonic() - start < seconds
         ):
             self.run_one()
             self.progress.seconds = time.monotonic() - start
-            if time.monotonic() - last_report > 0.5:
+            if time.monotonic() - last_report > PROGRESS_INTERVAL_S:
                 last_report = time.monotonic()
                 report(self.progress)
         report(self.progress)
@@ -151,7 +162,7 @@
 
 
 def violates(target: Target, rule: str) -> Callable[[Input], bool]:
-    """Whether an input breaks that rule first."""
+    """A predicate: whether an input's first violation is of that rule."""
 
     def fails(fuzz_input: Input) -> bool:
         violations, _ = target.check(fuzz_input)
@@ -161,40 +172,42 @@
 
 
 def shrink_finding(target: Target, fuzz_input: Input, violation: Violation, seconds: float = 20.0) -> Finding:
-    """A finding, its input made small."""
-    small = shrink(fuzz_input, violates(target, violation.rule), seconds)
-    violations, _ = target.check(small)
+    """The finding with its input shrunk, and with what the shrunk input showed."""
+    shrunk = shrink(fuzz_input, violates(target, violation.rule), seconds)
+    violations, _ = target.check(shrunk)
     seen = violations[0].seen if violations else violation.seen
-    return Finding(target.name, violation.rule, seen, small)
+    return Finding(target.name, violation.rule, seen, shrunk)
 
 
 def minimise(target: Target, entries: list[CorpusEntry]) -> list[CorpusEntry]:
-    """Those that reach something which no smaller one reaches, and the findings and hard cases."""
-    seen: set[str] = set()
-    chosen = []
-    for one in sorted(entries, key=lambda one: (not one.note.startswith("finding"), len(str(one.input)))):
-        _, reached = target.check(one.input)
-        new = features(reached) - seen
-        if new or one.note.startswith(("finding", "hard case")):
-            seen |= new
-            chosen.append(one)
-    return chosen
+    """The findings, the hard cases, and the entries with a feature that no smaller entry reaches."""
+    covered: set[str] = set()
+    kept = []
+    for entry in sorted(
+        entries, key=lambda entry: (not entry.note.startswith("finding"), len(str(entry.input)))
+    ):
+        _, reached = target.check(entry.input)
+        new = features(reached) - covered
+        if new or entry.note.startswith(("finding", "hard case")):
+            covered |= new
+            kept.append(entry)
+    return kept
 
 
 def hypothesis_run(target: Target, seconds: float, seed: int) -> Iterator[Finding | int]:
-    """The same scripts drawn by hypothesis, which shrinks by itself: how many, then the findings."""
+    """Run scripts drawn by hypothesis, which shrinks them itself; yields their number, then the findings."""
     import hypothesis
     from hypothesis import strategies
 
     assert target.make is not None
-    make, until, count, findings = target.make, time.monotonic() + seconds, 0, {}
+    make, deadline, count, findings = target.make, time.monotonic() + seconds, 0, {}
 
     class TimeLimitReached(BaseException):
-        """The time is over."""
+        """Ends the run; a BaseException, which hypothesis does not take for a failing example."""
 
     def body(data: Any) -> None:
         nonlocal count
-        if time.monotonic() > until:
+        if time.monotonic() > deadline:
             raise TimeLimitReached
         fuzz_input = make(HypothesisSource(data, strategies.integers))
         violations, _ = target.check(fuzz_input)
@@ -207,7 +220,7 @@
 
     test = hypothesis.seed(seed)(
         hypothesis.settings(
-            max_examples=1_000_000,
+            max_examples=HYPOTHESIS_MAX_EXAMPLES,
             database=None,
             deadline=None,
             print_blob=False,
