--- a/barleywheel/fuzz/engine.py
+++ b/barleywheel/fuzz/engine.py
@@ -203,7 +203,7 @@
     make, deadline, count, findings = target.make, time.monotonic() + seconds, 0, {}
 
     class TimeLimitReached(BaseException):
-        """Ends the run; a BaseException, which hypothesis does not take for a failing example."""
+        """Ends the run at its time limit."""
 
     def body(data: Any) -> None:
         nonlocal count
