--- a/barleywheel/fuzz/engine.py
+++ b/barleywheel/fuzz/engine.py
@@ -87,7 +87,7 @@
         return old[:80]
 
     def _mutate_bytes(self) -> bytes:
-        source, words = self.source, self.target.words
+        source, words = self.source, self.target.dictionary
         pool = cast(list[bytes], self.pool)
         data = bytearray(pick(source, pool))
         for _ in range(1 + source.below(5)):
--- a/barleywheel/fuzz/targets.py
+++ b/barleywheel/fuzz/targets.py
@@ -26,14 +26,18 @@
 
 @dataclass(frozen=True)
 class Target:
-    """One target. ``make`` stands where inputs are scripts, ``seeds`` and ``words`` where they are bytes."""
+    """A parser or state machine to fuzz.
+
+    ``make`` generates a script, for targets whose inputs are scripts; ``seeds`` and the ``dictionary`` of
+    tokens to insert are for targets whose inputs are bytes.
+    """
 
     name: str
     description: str
     run: Callable[[Any], Result]
     make: Callable[[Source], list[list[Any]]] | None = None
     seeds: tuple[bytes, ...] = ()
-    words: tuple[bytes, ...] = ()
+    dictionary: tuple[bytes, ...] = ()
     quick_check: Callable[[Any], Result] | None = None  # a shorter check, for most inputs of a run
 
     def check(self, fuzz_input: Input) -> Result:
@@ -237,7 +241,7 @@
                 caller.encode_message("hb", "1", c=0),
                 b"\n\n{}\n",
             ),
-            words=(
+            dictionary=(
                 b'"t":"new"',
                 b'"ref":',
                 b'"f":{',
@@ -266,7 +270,7 @@
                 b"X-State: x0:12;x1:40;queue:3\r\nContent-Length: 3\r\n\r\nabc",
                 sip.bye("9b1f03aa5c7e2d41", 2, "7f3a", 41),
             ),
-            words=(
+            dictionary=(
                 b"SIP/2.0 ",
                 b"\r\n\r\n",
                 b"\r\n",
@@ -297,7 +301,13 @@
                 exchange.encode(exchange.ASPUP, {0x11: b"\0\0\0\1"}),
                 exchange.encode(exchange.DUNA, {0x12: b"\0\0\0\xc8"}),
             ),
-            words=(b"\x01\x00\x01\x01", b"\x02\x10", b"\x00\x06\x00\x08", b"\x00\x00\x40\x00", b"\xff\xff"),
+            dictionary=(
+                b"\x01\x00\x01\x01",
+                b"\x02\x10",
+                b"\x00\x06\x00\x08",
+                b"\x00\x00\x40\x00",
+                b"\xff\xff",
+            ),
         ),
         Target(
             "isup",
@@ -313,14 +323,14 @@
                     exchange.encode_data(1, 18),
                 )
             ),
-            words=(b"\x20", b"\x00", b"\xff", b"\x02\x0a"),
+            dictionary=(b"\x20", b"\x00", b"\xff", b"\x02\x0a"),
         ),
         Target(
             "snmp",
             "the agent's datagrams",
             check_snmp,
             seeds=(SNMP_DATAGRAM,),
-            words=(
+            dictionary=(
                 b"\x30\x80",
                 b"\x06\x08",
                 b"\xa0",
@@ -338,7 +348,7 @@
                 HTTP_RESPONSE % (len(JOURNAL_EVENTS), JOURNAL_EVENTS),
                 b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\n{}\r\n0\r\n\r\n",
             ),
-            words=(
+            dictionary=(
                 b'"pos":',
                 b"1e999",
                 b"null",
@@ -358,7 +368,7 @@
             "the platform's configuration",
             check_config,
             seeds=(PLATFORM_CONFIG,),
-            words=(
+            dictionary=(
                 b"1e999",
                 b"null",
                 b"[]",
@@ -377,7 +387,7 @@
             "the operator's file, and a start with it",
             check_toml,
             seeds=(environment.OPERATOR_TOML.encode(),),
-            words=(
+            dictionary=(
                 b"1e999",
                 b"nan",
                 b"-1",
--- a/barleywheel/fuzz/worker.py
+++ b/barleywheel/fuzz/worker.py
@@ -80,7 +80,7 @@
     words.write_text(
         "".join(
             '"' + "".join(f"\\x{byte:02x}" for byte in word) + '"\n'
-            for word in target.words
+            for word in target.dictionary
             if len(word) < 64
         )
     )
