--- a/barleywheel/cli/__init__.py
+++ b/barleywheel/cli/__init__.py
@@ -1,4 +1,4 @@
-"""The tools' command line. The router itself starts without any of this."""
+"""Command line of the developer tools. The router itself starts without importing this package."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
     name="barleywheel",
     no_args_is_help=True,
     add_completion=False,
-    help="The call router's tools. With none of these commands the router starts.",
+    help="Developer tools of the call router. Without one of these commands the router starts.",
 )
 app.add_typer(fuzz.app, name="fuzz")
 
 
 @app.callback()
 def tools() -> None:
-    """The call router's tools."""
+    """Developer tools of the call router."""
--- a/barleywheel/cli/fuzz.py
+++ b/barleywheel/cli/fuzz.py
@@ -1,4 +1,4 @@
-"""``barleywheel fuzz``: run the fuzzer, replay what it found, and keep its corpus small."""
+"""``barleywheel fuzz``: run the fuzzer, replay its findings, extend its corpus, and run planted faults."""
 
 from __future__ import annotations
 
@@ -18,29 +18,29 @@
 from barleywheel.fuzz import corpus, engine, plants
 from barleywheel.fuzz.targets import TARGETS, Target
 
-app = typer.Typer(no_args_is_help=True, help="Fuzz the parsers and the state machines.")
-CORPUS = Path("fuzz/corpus")
-FINDINGS = Path("found")
-GRACE_S = 30.0  # how long a worker may take beyond its time: it may be shrinking
+app = typer.Typer(no_args_is_help=True, help="Fuzz the parsers and the state machines of the router.")
+CORPUS_FOLDER = Path("fuzz/corpus")
+FINDINGS_FOLDER = Path("found")
+WORKER_GRACE_S = 30.0  # a worker may still be shrinking a finding when its time is up
 ENGINES = ("auto", "seeded", "hypothesis", "atheris")
 
 
 def usage_error(message: str) -> typer.Exit:
-    """One plain line, and exit code 2."""
+    """Print an error as one line; the returned exception exits with code 2."""
     typer.echo(f"barleywheel: {message}", err=True)
     return typer.Exit(2)
 
 
 def select_targets(names: list[str] | None) -> list[Target]:
-    """The targets named, or all."""
+    """The named targets without duplicates, or all targets if no name is given."""
     for name in names or []:
         if name not in TARGETS:
-            raise usage_error(f"no target {name!r}; there are {', '.join(TARGETS)}")
+            raise usage_error(f"unknown target {name!r}; available: {', '.join(TARGETS)}")
     return [TARGETS[name] for name in dict.fromkeys(names or TARGETS)]
 
 
 def load_entries(target: Target, folder: Path) -> list[corpus.CorpusEntry]:
-    """A target's corpus."""
+    """Load the corpus of a target; an unreadable corpus file is a usage error."""
     try:
         return corpus.load(folder / f"{target.name}.jsonl")
     except corpus.CorpusError as error:
@@ -49,14 +49,14 @@
 
 @app.command("list")
 def list_targets() -> None:
-    """Name the targets."""
+    """List the targets, each with its kind of input and a description."""
     for target in TARGETS.values():
         typer.echo(f"{target.name:10} {'scripts' if target.make else 'bytes  '}  {target.description}")
 
 
 @dataclass
 class Job:
-    """A worker process on one target."""
+    """One worker process, which fuzzes one target, and its latest progress."""
 
     target: Target
     seed: int
@@ -64,115 +64,135 @@
     process: subprocess.Popen[str] | None = None
     inputs: int = 0
     seconds: float = 0.0
-    reached: int = 0
+    reached_count: int = 0
     deadline: float = 0.0
     entries: list[dict[str, Any]] = field(default_factory=list)
 
-    def start(self, seconds: float, inputs: int, folder: Path, work: Path) -> None:
-        """Start the process."""
-        order = {
+    def start(self, seconds: float, inputs: int, corpus_folder: Path, scratch_folder: Path) -> None:
+        """Start the worker process; 0 seconds or 0 inputs means no limit."""
+        job_spec = {
             "target": self.target.name,
             "seed": self.seed,
             "seconds": seconds,
             "inputs": inputs,
             "engine": self.engine,
-            "corpus": str(folder),
-            "folder": str(work / f"{self.target.name}{self.seed}"),
+            "corpus": str(corpus_folder),
+            "folder": str(scratch_folder / f"{self.target.name}{self.seed}"),
         }
-        name = "barleywheel.fuzz.guided" if self.engine == "atheris" else "barleywheel.fuzz.worker"
+        worker_module = "barleywheel.fuzz.guided" if self.engine == "atheris" else "barleywheel.fuzz.worker"
         self.process = subprocess.Popen(
-            [sys.executable, "-m", name, json.dumps(order)],
+            [sys.executable, "-m", worker_module, json.dumps(job_spec)],
             stdout=subprocess.PIPE,
             stderr=subprocess.PIPE if self.engine == "atheris" else None,
             text=True,
             env=os.environ | {"PYTHONHASHSEED": "0"},
         )
-        self.deadline = time.monotonic() + seconds + GRACE_S if seconds else float("inf")
+        self.deadline = time.monotonic() + seconds + WORKER_GRACE_S if seconds else float("inf")
 
 
 @app.command()
 def run(
     target: Annotated[
-        list[str] | None, typer.Option(help="A target; several may be given. All without.")
+        list[str] | None, typer.Option(help="Target to run; may be repeated. Default: all targets.")
     ] = None,
-    seconds: Annotated[float, typer.Option(min=0, help="How long; 0 for no bound.")] = 60.0,
-    inputs: Annotated[int, typer.Option(min=0, help="How many inputs a job; 0 for no bound.")] = 0,
-    seed: Annotated[int, typer.Option(help="Of all choices.")] = 1,
-    jobs: Annotated[int, typer.Option(min=1, help="Processes at a time.")] = 1,
-    folder: Annotated[Path, typer.Option("--corpus", help="Where inputs are kept.")] = CORPUS,
-    found: Annotated[Path, typer.Option(help="Where findings are written.")] = FINDINGS,
+    seconds: Annotated[float, typer.Option(min=0, help="Time limit of the whole run; 0 for none.")] = 60.0,
+    inputs: Annotated[int, typer.Option(min=0, help="Limit of inputs per worker process; 0 for none.")] = 0,
+    seed: Annotated[int, typer.Option(help="Seed of the random number generator.")] = 1,
+    jobs: Annotated[int, typer.Option(min=1, help="Worker processes that run at the same time.")] = 1,
+    corpus_folder: Annotated[
+        Path, typer.Option("--corpus", help="Folder of the corpus files.")
+    ] = CORPUS_FOLDER,
+    found: Annotated[Path, typer.Option(help="Folder that findings are written to.")] = FINDINGS_FOLDER,
     grow: Annotated[
-        bool, typer.Option(help="Write inputs that reach something new into the corpus.")
+        bool, typer.Option(help="Add inputs that reach new features to the corpus, and minimise it.")
     ] = False,
     engine_name: Annotated[
-        str, typer.Option("--engine", help="auto, seeded, hypothesis or atheris.")
+        str, typer.Option("--engine", help="auto, seeded, hypothesis (scripts only) or atheris (bytes only).")
     ] = "auto",
 ) -> None:
-    """Run targets; 0 when clean, 1 on a finding, 2 on bad usage."""
+    """Fuzz targets. Exit code 0: no finding, 1: at least one finding, 2: usage error."""
     targets = select_targets(target)
     if engine_name not in ENGINES:
-        raise usage_error(f"no engine {engine_name!r}; there are {', '.join(ENGINES)}")
+        raise usage_error(f"unknown engine {engine_name!r}; available: {', '.join(ENGINES)}")
     if not seconds and not inputs:
-        raise usage_error("without a bound on seconds or inputs this would never end")
-    for one in targets:
+        raise usage_error("--seconds and --inputs are both 0: the run would never end")
+    for selected in targets:
         if (
-            one.make is None
+            selected.make is None
             and engine_name == "hypothesis"
-            or one.make is not None
+            or selected.make is not None
             and engine_name == "atheris"
         ):
-            raise usage_error(f"engine {engine_name} is not for target {one.name}")
-        load_entries(one, folder)
-    # Each target gets a share of the time; with more jobs than targets, some are run twice under other seeds.
-    slots = max(jobs, len(targets))
-    work = [
+            raise usage_error(f"engine {engine_name} does not support target {selected.name}")
+        load_entries(selected, corpus_folder)
+    # The time is divided among the targets; with more worker processes than targets, some targets run
+    # several times with different seeds.
+    job_count = max(jobs, len(targets))
+    job_list = [
         Job(
-            targets[at % len(targets)],
-            seed + at // len(targets),
+            targets[index % len(targets)],
+            seed + index // len(targets),
             "seeded" if engine_name == "auto" else engine_name,
         )
-        for at in range(slots)
+        for index in range(job_count)
     ]
-    share = seconds * min(jobs, slots) / slots if seconds else 0.0
-    findings = JobRunner(work, share, inputs, folder, found, jobs).run()
+    seconds_per_job = seconds * min(jobs, job_count) / job_count if seconds else 0.0
+    findings = JobRunner(job_list, seconds_per_job, inputs, corpus_folder, found, jobs).run()
     if grow:
-        for one in targets:
-            _grow_corpus(one, folder, [job for job in work if job.target is one])
+        for selected in targets:
+            _grow_corpus(selected, corpus_folder, [job for job in job_list if job.target is selected])
     raise typer.Exit(1 if findings else 0)
 
 
-def _grow_corpus(target: Target, folder: Path, done: list[Job]) -> None:
-    entries = load_entries(target, folder)
-    before = len(entries)
+def _grow_corpus(target: Target, corpus_folder: Path, finished_jobs: list[Job]) -> None:
+    entries = load_entries(target, corpus_folder)
+    count_before = len(entries)
     entries += [
-        corpus.CorpusEntry(corpus.from_json(raw), raw.get("note", "")) for job in done for raw in job.entries
+        corpus.CorpusEntry(corpus.from_json(raw), raw.get("note", ""))
+        for job in finished_jobs
+        for raw in job.entries
     ]
-    small = engine.minimise(target, entries)
-    corpus.save(folder / f"{target.name}.jsonl", small)
-    typer.echo(f"{target.name}: {before} inputs kept before, {len(small)} now")
+    minimised = engine.minimise(target, entries)
+    corpus.save(corpus_folder / f"{target.name}.jsonl", minimised)
+    typer.echo(f"{target.name}: corpus had {count_before} inputs, now has {len(minimised)}")
 
 
 class JobRunner:
-    """Workers side by side: their news, their findings, their ends."""
+    """Runs worker processes in parallel, reads their messages and saves their findings."""
 
     def __init__(
-        self, work: list[Job], share: float, inputs: int, folder: Path, found: Path, max_jobs: int
+        self,
+        jobs: list[Job],
+        seconds_per_job: float,
+        inputs_per_job: int,
+        corpus_folder: Path,
+        findings_folder: Path,
+        max_running: int,
     ) -> None:
-        self.work, self.share, self.inputs = work, share, inputs
-        self.folder, self.found, self.max_jobs = folder, found, max_jobs
+        self.jobs, self.seconds_per_job, self.inputs_per_job = jobs, seconds_per_job, inputs_per_job
+        self.corpus_folder, self.findings_folder, self.max_running = (
+            corpus_folder,
+            findings_folder,
+            max_running,
+        )
         self.findings: dict[tuple[str, str], Path] = {}
-        self.last_progress = time.monotonic()
+        self.last_progress_s = time.monotonic()
 
     def run(self) -> dict[tuple[str, str], Path]:
-        """Run them all; the findings by target and rule."""
-        waiting, running = list(self.work), list[Job]()
+        """Run all jobs; the paths of the findings, by target and rule."""
+        waiting, running = list(self.jobs), list[Job]()
         selector = selectors.DefaultSelector()
-        with tempfile.TemporaryDirectory() as scratch:
+        with tempfile.TemporaryDirectory() as scratch_folder:
             try:
                 while waiting or running:
-                    while waiting and len(running) < self.max_jobs:
+                    while waiting and len(running) < self.max_running:
                         job = waiting.pop(0)
-                        job.start(self.share, self.inputs, self.folder, Path(scratch))
+                        job.start(
+                            self.seconds_per_job,
+                            self.inputs_per_job,
+                            self.corpus_folder,
+                            Path(scratch_folder),
+                        )
                         assert job.process is not None and job.process.stdout is not None
                         selector.register(job.process.stdout, selectors.EVENT_READ, job)
                         running.append(job)
@@ -188,7 +208,7 @@
                         if time.monotonic() > job.deadline and job.process is not None:
                             job.process.kill()
                             self._record_finding(
-                                job, "hangs", "an input kept a worker busy beyond its time", {}
+                                job, "hangs", "the worker process did not exit within its time limit", {}
                             )
                     self._show_progress()
             finally:
@@ -196,25 +216,29 @@
                     if job.process is not None:
                         job.process.kill()
                         job.process.wait()
-        for job in self.work:
-            rate = job.inputs / job.seconds if job.seconds else 0.0
+        for job in self.jobs:
+            inputs_per_s = job.inputs / job.seconds if job.seconds else 0.0
             typer.echo(
                 f"{job.target.name:10} {job.engine:10} seed {job.seed}: {job.inputs} inputs, "
-                f"{rate:.0f} a second, {job.reached} things reached"
+                f"{inputs_per_s:.0f} a second, {job.reached_count} things reached"
             )
         return self.findings
 
     def _on_line(self, job: Job, line: str) -> None:
         try:
-            news = json.loads(line)
+            message = json.loads(line)
         except ValueError:
-            return  # an engine's own chatter
-        if "finding" in news:
-            self._record_finding(job, news["finding"], news["seen"], news)
-        elif "kept" in news:
-            job.entries = news["kept"]
-        elif "inputs" in news:
-            job.inputs, job.seconds, job.reached = news["inputs"], news["seconds"], news["reached"]
+            return  # output of the engine itself, such as that of atheris
+        if "finding" in message:
+            self._record_finding(job, message["finding"], message["seen"], message)
+        elif "kept" in message:
+            job.entries = message["kept"]
+        elif "inputs" in message:
+            job.inputs, job.seconds, job.reached_count = (
+                message["inputs"],
+                message["seconds"],
+                message["reached"],
+            )
 
     def _on_exit(self, job: Job) -> None:
         assert job.process is not None
@@ -224,73 +248,84 @@
             typer.echo(errors[-2000:], err=True)
             self._record_finding(job, "worker died", f"exit code {code}", {})
 
-    def _record_finding(self, job: Job, rule: str, seen: str, news: dict[str, Any]) -> None:
+    def _record_finding(self, job: Job, rule: str, detail: str, message: dict[str, Any]) -> None:
         key = job.target.name, rule
         if key in self.findings:
             return
-        path = self.found / f"{job.target.name}-{rule.replace(' ', '-').replace(chr(39), '')}.json"
+        path = self.findings_folder / f"{job.target.name}-{rule.replace(' ', '-').replace(chr(39), '')}.json"
         self.findings[key] = path
-        typer.echo(f"FOUND {job.target.name}: {rule}: {seen}")
-        if "hex" in news or "steps" in news:
-            small = corpus.from_json(news)
-            corpus.save_finding(path, job.target.name, rule, seen, small)
-            typer.echo(corpus.format_input(small))
+        typer.echo(f"FOUND {job.target.name}: {rule}: {detail}")
+        if "hex" in message or "steps" in message:
+            shrunk = corpus.from_json(message)
+            corpus.save_finding(path, job.target.name, rule, detail, shrunk)
+            typer.echo(corpus.format_input(shrunk))
             typer.echo(f"  after {job.seconds:.1f} s; replay: barleywheel fuzz replay {path}")
 
     def _show_progress(self) -> None:
-        if time.monotonic() - self.last_progress > 5.0 and sys.stderr.isatty():
-            self.last_progress = time.monotonic()
-            total = sum(job.inputs for job in self.work)
+        if time.monotonic() - self.last_progress_s > 5.0 and sys.stderr.isatty():
+            self.last_progress_s = time.monotonic()
+            total = sum(job.inputs for job in self.jobs)
             typer.echo(f"... {total} inputs, {len(self.findings)} findings", err=True)
 
 
 @app.command()
-def replay(files: Annotated[list[Path], typer.Argument(help="Findings, or corpus files.")]) -> None:
-    """Run findings or corpus files again; 0 when clean, 1 where a rule breaks, 2 on a bad file."""
-    broken = count = 0
+def replay(
+    files: Annotated[list[Path], typer.Argument(help="Finding files (.json) or corpus files (.jsonl).")],
+) -> None:
+    """Run saved inputs again. Exit code 0: no violation, 1: at least one violation, 2: unreadable file."""
+    violating_count = input_count = 0
     for path in files:
         try:
             if path.suffix == ".jsonl":
                 if not path.exists():
                     raise corpus.CorpusError(f"{path}: no such file")
-                name, inputs = path.stem, [entry.input for entry in corpus.load(path)]
+                target_name, inputs = path.stem, [entry.input for entry in corpus.load(path)]
             else:
-                name, _, one = corpus.load_finding(path)
-                inputs = [one]
+                target_name, _, finding_input = corpus.load_finding(path)
+                inputs = [finding_input]
         except corpus.CorpusError as error:
             raise usage_error(str(error)) from error
-        if name not in TARGETS:
-            raise usage_error(f"{path}: no target {name!r}")
-        for one in inputs:
-            count += 1
-            violations, _ = TARGETS[name].check(one)
+        if target_name not in TARGETS:
+            raise usage_error(f"{path}: unknown target {target_name!r}")
+        for fuzz_input in inputs:
+            input_count += 1
+            violations, _ = TARGETS[target_name].check(fuzz_input)
             if violations:
-                broken += 1
-                typer.echo(f"{name}: {violations[0].rule}: {violations[0].seen}\n{corpus.format_input(one)}")
-    typer.echo(f"{count} inputs, {broken} break a rule")
-    raise typer.Exit(1 if broken else 0)
+                violating_count += 1
+                typer.echo(
+                    f"{target_name}: {violations[0].rule}: {violations[0].seen}\n"
+                    f"{corpus.format_input(fuzz_input)}"
+                )
+    typer.echo(f"{input_count} inputs, {violating_count} break a rule")
+    raise typer.Exit(1 if violating_count else 0)
 
 
 @app.command()
 def plant(
-    name: Annotated[list[str] | None, typer.Option(help="A plant; several may be given.")] = None,
-    seconds: Annotated[float, typer.Option(min=1, help="How long each is looked for.")] = 60.0,
-    seed: Annotated[int, typer.Option(help="Of all choices.")] = 1,
-    jobs: Annotated[int, typer.Option(min=1, help="Processes at a time.")] = 4,
+    name: Annotated[
+        list[str] | None, typer.Option(help="Planted fault to run; may be repeated. Default: all.")
+    ] = None,
+    seconds: Annotated[float, typer.Option(min=1, help="Time limit for each fault.")] = 60.0,
+    seed: Annotated[int, typer.Option(help="Seed of the random number generator.")] = 1,
+    jobs: Annotated[int, typer.Option(min=1, help="Worker processes that run at the same time.")] = 4,
 ) -> None:
-    """Plant faults of one line in copies of the program; 0 when all are found, 1 when one is not."""
-    by_name = {one.name: one for one in plants.PLANTED_FAULTS}
-    for word in name or []:
-        if word not in by_name:
-            raise usage_error(f"no plant {word!r}; there are {', '.join(by_name)}")
-    missed = 0
+    """Check that the fuzzer finds planted faults. Exit code 0: all found, 1: at least one not found."""
+    faults_by_name = {fault.name: fault for fault in plants.PLANTED_FAULTS}
+    for fault_name in name or []:
+        if fault_name not in faults_by_name:
+            raise usage_error(f"unknown planted fault {fault_name!r}; available: {', '.join(faults_by_name)}")
+    missed_count = 0
     try:
-        for done in plants.run_planted_faults(
-            [by_name[word] for word in name or by_name], seconds, seed, jobs
+        for result in plants.run_planted_faults(
+            [faults_by_name[fault_name] for fault_name in name or faults_by_name], seconds, seed, jobs
         ):
-            missed += not done.rule
-            found = f"{done.seconds:5.1f} s, {done.inputs} inputs: {done.rule}" if done.rule else "NOT FOUND"
-            typer.echo(f"{done.fault.name:42} {done.fault.target:10} {found}")
+            missed_count += not result.rule
+            outcome = (
+                f"{result.seconds:5.1f} s, {result.inputs} inputs: {result.rule}"
+                if result.rule
+                else "NOT FOUND"
+            )
+            typer.echo(f"{result.fault.name:42} {result.fault.target:10} {outcome}")
     except plants.StaleQuoteError as error:
         raise usage_error(str(error)) from error
-    raise typer.Exit(1 if missed else 0)
+    raise typer.Exit(1 if missed_count else 0)
