--- a/barleywheel/cli/fuzz.py
+++ b/barleywheel/cli/fuzz.py
@@ -154,7 +154,7 @@
     ]
     minimised = engine.minimise(target, entries)
     corpus.save(corpus_folder / f"{target.name}.jsonl", minimised)
-    typer.echo(f"{target.name}: corpus had {count_before} inputs, now has {len(minimised)}")
+    typer.echo(f"{target.name}: {count_before} inputs in the corpus before, {len(minimised)} now")
 
 
 class JobRunner:
--- a/barleywheel/fuzz/guided.py
+++ b/barleywheel/fuzz/guided.py
@@ -1,4 +1,8 @@
-"""A worker under atheris: the parsers are instrumented while they are imported, so before anything else."""
+"""Worker process for the atheris engine.
+
+atheris instruments modules while they are imported, so the parsers are imported here before anything else
+imports them.
+"""
 
 from __future__ import annotations
 
--- a/barleywheel/fuzz/worker.py
+++ b/barleywheel/fuzz/worker.py
@@ -1,7 +1,7 @@
-"""One process of a fuzz run: targets in turn, news as JSON lines on standard output.
+"""Worker process of a fuzz run: fuzzes one target and writes JSON messages to standard output, one per line.
 
-A process of its own keeps a crash or a hang from ending the run, and atheris needs one anyway: its engine
-never returns.
+A separate process keeps a crash or a hang from ending the whole run. atheris requires one in any case,
+because its engine never returns.
 """
 
 from __future__ import annotations
@@ -17,21 +17,21 @@
 from barleywheel.fuzz.targets import TARGETS, Target
 
 
-def send_message(**news: Any) -> None:
-    """One line of news."""
-    sys.stdout.write(json.dumps(news) + "\n")
+def send_message(**fields: Any) -> None:
+    """Write one JSON message to the parent process."""
+    sys.stdout.write(json.dumps(fields) + "\n")
     sys.stdout.flush()
 
 
 def report_finding(finding: Finding) -> None:
-    """News of a finding."""
+    """Send a finding with its input."""
     send_message(
         finding=finding.rule, target=finding.target, seen=finding.seen, **corpus.to_json(finding.input)
     )
 
 
 def report_progress(target: Target, progress: FuzzProgress) -> None:
-    """News of how far a target is."""
+    """Send the number of inputs, the elapsed time and the number of features reached."""
     send_message(
         target=target.name, inputs=progress.inputs, seconds=progress.seconds, reached=len(progress.features)
     )
@@ -40,62 +40,63 @@
 def fuzz_seeded(
     target: Target, seed: int, seconds: float, inputs: int, entries: list[corpus.CorpusEntry]
 ) -> None:
-    """The engine of our own."""
-    session, reported = FuzzSession(target, seed, entries), set()
+    """Fuzz with the built-in engine, then send the inputs that reached new features."""
+    session, reported_rules = FuzzSession(target, seed, entries), set()
 
     def report(progress: FuzzProgress) -> None:
         report_progress(target, progress)
         for rule, finding in progress.findings.items():
-            if rule not in reported:
-                reported.add(rule)
+            if rule not in reported_rules:
+                reported_rules.add(rule)
                 report_finding(finding)
 
     progress = session.run(seconds, inputs, report)
     send_message(
-        target=target.name, kept=[{"note": one.note, **corpus.to_json(one.input)} for one in progress.entries]
+        target=target.name,
+        kept=[{"note": entry.note, **corpus.to_json(entry.input)} for entry in progress.entries],
     )
 
 
 def fuzz_with_hypothesis(target: Target, seed: int, seconds: float) -> None:
-    """hypothesis' engine, for scripts."""
-    start = time.monotonic()
-    for news in hypothesis_run(target, seconds, seed):
-        if isinstance(news, Finding):
-            report_finding(news)
-        else:
-            report_progress(target, FuzzProgress(news, time.monotonic() - start))
+    """Fuzz a target whose inputs are scripts with hypothesis."""
+    start_s = time.monotonic()
+    for result in hypothesis_run(target, seconds, seed):
+        if isinstance(result, Finding):
+            report_finding(result)
+        else:  # the number of inputs
+            report_progress(target, FuzzProgress(result, time.monotonic() - start_s))
 
 
 def fuzz_with_atheris(
     target: Target, seed: int, seconds: float, entries: list[corpus.CorpusEntry], folder: Path
 ) -> None:
-    """atheris' engine, for bytes: guided by the lines that an input reaches. Does not return."""
+    """Fuzz a target whose inputs are bytes with atheris, guided by code coverage. Does not return."""
     import atheris
 
     folder.mkdir(parents=True, exist_ok=True)
-    for at, data in enumerate([one.input for one in entries] + list(target.seeds)):
+    for index, data in enumerate([entry.input for entry in entries] + list(target.seeds)):
         if isinstance(data, bytes):
-            (folder / f"seed{at:04}").write_bytes(data)
-    words = folder.parent / f"{target.name}.dict"
-    words.write_text(
+            (folder / f"seed{index:04}").write_bytes(data)
+    dictionary_file = folder.parent / f"{target.name}.dict"
+    dictionary_file.write_text(
         "".join(
-            '"' + "".join(f"\\x{byte:02x}" for byte in word) + '"\n'
-            for word in target.dictionary
-            if len(word) < 64
+            '"' + "".join(f"\\x{byte:02x}" for byte in token) + '"\n'
+            for token in target.dictionary
+            if len(token) < 64
         )
     )
-    progress, start, last_report = FuzzProgress(), time.monotonic(), [0.0]
+    progress, start_s, last_report_s = FuzzProgress(), time.monotonic(), [0.0]
 
     def run_input(data: bytes) -> None:
         violations, _ = target.check(data)
         progress.inputs += 1
-        now = time.monotonic()
+        now_s = time.monotonic()
         for violation in violations[:1]:
             if violation.rule not in progress.findings:
                 finding = progress.findings[violation.rule] = shrink_finding(target, data, violation, 5.0)
                 report_finding(finding)
-        if now - last_report[0] > 0.5:
-            last_report[0], progress.seconds = now, now - start
+        if now_s - last_report_s[0] > 0.5:
+            last_report_s[0], progress.seconds = now_s, now_s - start_s
             report_progress(target, progress)
 
     atheris.Setup(
@@ -104,7 +105,7 @@
             f"-seed={seed % 2**31 + 1}",
             f"-max_total_time={int(seconds)}",
             "-max_len=20000",
-            f"-dict={words}",
+            f"-dict={dictionary_file}",
             "-verbosity=0",
             "-print_final_stats=0",
             str(folder),
@@ -115,17 +116,17 @@
 
 
 def main() -> None:
-    """Work as the one argument, a JSON object, says."""
-    job = json.loads(sys.argv[1])
-    target, seed, seconds = TARGETS[job["target"]], job["seed"], job["seconds"]
-    entries = corpus.load(Path(job["corpus"]) / f"{target.name}.jsonl") if job["corpus"] else []
-    match job["engine"]:
+    """Run the job that the only argument, a JSON object, describes."""
+    job_spec = json.loads(sys.argv[1])
+    target, seed, seconds = TARGETS[job_spec["target"]], job_spec["seed"], job_spec["seconds"]
+    entries = corpus.load(Path(job_spec["corpus"]) / f"{target.name}.jsonl") if job_spec["corpus"] else []
+    match job_spec["engine"]:
         case "atheris":
-            fuzz_with_atheris(target, seed, seconds, entries, Path(job["folder"]))
+            fuzz_with_atheris(target, seed, seconds, entries, Path(job_spec["folder"]))
         case "hypothesis":
             fuzz_with_hypothesis(target, seed, seconds)
         case _:
-            fuzz_seeded(target, seed, seconds, job["inputs"], entries)
+            fuzz_seeded(target, seed, seconds, job_spec["inputs"], entries)
 
 
 if __name__ == "__main__":
