--- a/barleywheel/fuzz/plants.py
+++ b/barleywheel/fuzz/plants.py
@@ -1,7 +1,9 @@
-"""Faults of one line, planted in a copy of the program: does the fuzzer find them, and how soon?
+"""Planted faults: small changes to a copy of the program that show whether the fuzzer finds such faults.
 
-Each is a text that stands once in one file, and what takes its place. ``barleywheel fuzz plant`` copies the
-package, plants one, and runs its target from an empty corpus. The program itself is never touched.
+A planted fault is a piece of program text that occurs exactly once in one file, and its replacement.
+``barleywheel fuzz plant`` copies the package, applies one fault to the copy, and runs the fault's target from
+an empty corpus until a rule is violated. It reports the rule and the time taken. The program itself is never
+modified.
 """
 
 from __future__ import annotations
@@ -17,13 +19,13 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-PACKAGE = Path(__file__).parent.parent
-GRACE_S = 30.0
+PACKAGE_FOLDER = Path(__file__).parent.parent
+WORKER_GRACE_S = 30.0  # for a worker process to start and to finish its last input
 
 
 @dataclass(frozen=True)
 class PlantedFault:
-    """One fault: ``old`` in ``file`` becomes ``new``; ``target`` should find it."""
+    """Replaces ``old`` with ``new`` in ``file``; fuzzing ``target`` should find the fault."""
 
     name: str
     target: str
@@ -34,17 +36,17 @@
 
 @dataclass(frozen=True)
 class PlantedFaultResult:
-    """What became of a plant: the rule that showed it, or "" where none did in the time."""
+    """Whether a fault was found: the violated rule, or "" if none was violated within the time limit."""
 
     fault: PlantedFault
     rule: str
-    seen: str
+    detail: str
     inputs: int
     seconds: float
 
 
 class StaleQuoteError(Exception):
-    """A plant's text does not stand in its file just once."""
+    """The text that a planted fault replaces does not occur exactly once in its file."""
 
 
 PLANTED_FAULTS = (
@@ -192,39 +194,41 @@
 
 
 def copy_with_fault(fault: PlantedFault, folder: Path) -> Path:
-    """A copy of the package with the fault in it; StaleQuoteError where its text does not stand once."""
-    shutil.copytree(PACKAGE, folder / "barleywheel", ignore=shutil.ignore_patterns("__pycache__"))
+    """Copy the package to a folder and apply the fault; StaleQuoteError if its text is not there once."""
+    shutil.copytree(PACKAGE_FOLDER, folder / "barleywheel", ignore=shutil.ignore_patterns("__pycache__"))
     path = folder / "barleywheel" / fault.file
     text = path.read_text()
     if text.count(fault.old) != 1:
-        raise StaleQuoteError(f"{fault.name}: its text stands {text.count(fault.old)} times in {fault.file}")
+        raise StaleQuoteError(
+            f"{fault.name}: replaced text occurs {text.count(fault.old)} times in {fault.file}"
+        )
     path.write_text(text.replace(fault.old, fault.new))
     return folder
 
 
 def run_planted_fault(fault: PlantedFault, seconds: float, seed: int) -> PlantedFaultResult:
-    """Run a plant's target until a rule breaks or the time is over."""
-    with tempfile.TemporaryDirectory() as scratch:
-        folder = copy_with_fault(fault, Path(scratch))
-        done = subprocess.run(
+    """Fuzz a faulty copy until a rule is violated or the time limit is reached."""
+    with tempfile.TemporaryDirectory() as scratch_folder:
+        folder = copy_with_fault(fault, Path(scratch_folder))
+        process = subprocess.run(
             [sys.executable, "-m", "barleywheel.fuzz.plants", fault.target, str(seconds), str(seed)],
             cwd=folder,
             env=os.environ | {"PYTHONPATH": str(folder)},
             text=True,
             capture_output=True,
-            timeout=seconds + GRACE_S,
+            timeout=seconds + WORKER_GRACE_S,
         )
     try:
-        rule, seen, inputs, took = json.loads(done.stdout.splitlines()[-1])
+        rule, detail, inputs, elapsed_s = json.loads(process.stdout.splitlines()[-1])
     except (ValueError, IndexError):
-        rule, seen, inputs, took = "worker died", done.stderr[-300:], 0, 0.0
-    return PlantedFaultResult(fault, rule, seen, inputs, took)
+        rule, detail, inputs, elapsed_s = "worker died", process.stderr[-300:], 0, 0.0
+    return PlantedFaultResult(fault, rule, detail, inputs, elapsed_s)
 
 
 def run_planted_faults(
     faults: list[PlantedFault], seconds: float, seed: int, jobs: int
 ) -> Iterator[PlantedFaultResult]:
-    """All of them, so many at a time, in the order in which they are done."""
+    """Run planted faults, ``jobs`` at a time; yields results in the order in which they finish."""
     with ThreadPoolExecutor(jobs) as pool:
         for future in as_completed(
             [pool.submit(run_planted_fault, fault, seconds, seed) for fault in faults]
@@ -233,26 +237,28 @@
 
 
 def main() -> None:
-    """The process that looks for one plant: target, seconds, seed."""
+    """Entry point of the worker process. Arguments: target, time limit in seconds, seed."""
     import time
 
     from barleywheel.fuzz.engine import FULL_CHECK_INTERVAL, FuzzSession
     from barleywheel.fuzz.targets import TARGETS
 
     target, seconds, seed = TARGETS[sys.argv[1]], float(sys.argv[2]), int(sys.argv[3])
-    session, start, count = FuzzSession(target, seed, []), time.monotonic(), 0
-    while time.monotonic() - start < seconds:
+    session, start_s, input_count = FuzzSession(target, seed, []), time.monotonic(), 0
+    while time.monotonic() - start_s < seconds:
         fuzz_input = session.next_input()
         violations, _ = (
             target.quick_check(fuzz_input)
-            if target.quick_check and count % FULL_CHECK_INTERVAL
+            if target.quick_check and input_count % FULL_CHECK_INTERVAL
             else target.check(fuzz_input)
         )
-        count += 1
+        input_count += 1
         if violations:
-            print(json.dumps([violations[0].rule, violations[0].seen, count, time.monotonic() - start]))
+            print(
+                json.dumps([violations[0].rule, violations[0].seen, input_count, time.monotonic() - start_s])
+            )
             return
-    print(json.dumps(["", "", count, seconds]))
+    print(json.dumps(["", "", input_count, seconds]))
 
 
 if __name__ == "__main__":
--- a/tests/test_fuzz.py
+++ b/tests/test_fuzz.py
@@ -13,7 +13,7 @@
 from barleywheel.fronts.platform import Caller
 from barleywheel.fuzz import corpus
 from barleywheel.fuzz.engine import FuzzSession, shrink_finding, violates
-from barleywheel.fuzz.plants import PACKAGE, PLANTED_FAULTS
+from barleywheel.fuzz.plants import PACKAGE_FOLDER, PLANTED_FAULTS
 from barleywheel.fuzz.scripts import ScriptRunner
 from barleywheel.fuzz.source import ByteSource, SeededSource
 from barleywheel.fuzz.targets import TARGETS
@@ -178,4 +178,4 @@
 
 def test_every_plant_still_fits_the_program() -> None:
     for fault in PLANTED_FAULTS:
-        assert (PACKAGE / fault.file).read_text().count(fault.old) == 1, fault.name
+        assert (PACKAGE_FOLDER / fault.file).read_text().count(fault.old) == 1, fault.name
