--- a/barleywheel/fuzz/targets.py
+++ b/barleywheel/fuzz/targets.py
@@ -1,4 +1,4 @@
-"""What there is to fuzz: parsers by bytes, state machines by scripts."""
+"""The fuzz targets: parsers, which take bytes, and state machines, which take scripts."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 from barleywheel.virtual import environment
 from barleywheel.wire import sip
 
-Result = tuple[list[Violation], dict[str, int]]
+CheckResult = tuple[list[Violation], dict[str, int]]  # and how often each feature was reached
 
 
 @dataclass(frozen=True)
@@ -34,22 +34,22 @@
 
     name: str
     description: str
-    run: Callable[[Any], Result]
+    run: Callable[[Any], CheckResult]
     make: Callable[[Source], list[list[Any]]] | None = None
     seeds: tuple[bytes, ...] = ()
     dictionary: tuple[bytes, ...] = ()
-    quick_check: Callable[[Any], Result] | None = None  # a shorter check, for most inputs of a run
+    quick_check: Callable[[Any], CheckResult] | None = None  # a shorter check, used for most inputs of a run
 
-    def check(self, fuzz_input: Input) -> Result:
-        """Run one input; what raises in the harness itself is a finding as well."""
+    def check(self, fuzz_input: Input) -> CheckResult:
+        """Run one input; a RecursionError is a violation too, also one raised in the test harness."""
         try:
             return self.run(fuzz_input)
         except RecursionError as error:
             return [Violation("recursion", str(error))], {}
 
 
-def _byte_check(check: Callable[[bytes], list[Violation]]) -> Callable[[bytes], Result]:
-    def run(data: bytes) -> Result:
+def _count_violated_rules(check: Callable[[bytes], list[Violation]]) -> Callable[[bytes], CheckResult]:
+    def run(data: bytes) -> CheckResult:
         violations = check(data)
         return violations, {violation.rule: 1 for violation in violations}
 
@@ -57,16 +57,16 @@
 
 
 class PieceSocket:
-    """A socket that has these pieces to give, then its end."""
+    """A socket that delivers the given pieces, one per read, and then the end of the stream."""
 
     def __init__(self, pieces: list[bytes]) -> None:
         self._pieces = [piece for piece in pieces if piece]
 
     def settimeout(self, seconds: float | None) -> None:
-        """Nothing is waited for here."""
+        """Ignored: reads never block."""
 
     def recv_into(self, view: memoryview) -> int:
-        """The next piece, or as much of it as there is room for."""
+        """Deliver the next piece, or as much of it as fits into the view."""
         if not self._pieces:
             return 0
         piece = self._pieces.pop(0)
@@ -78,32 +78,32 @@
 
 
 class NullHubPool:
-    """Takes the hub list as the real pool does, and keeps nothing."""
+    """A stand-in for ``HubPool`` that ignores the hub list."""
 
     def update(self, endpoints: list[Any], whole: bool) -> None:
         """See ``HubPool``."""
 
 
-def check_http(data: bytes) -> Result:
-    """The journal's answers: any bytes are events, or an error after which the poll is opened anew."""
+def check_http(data: bytes) -> CheckResult:
+    """Check journal responses: any bytes are events, or an error after which the client opens a new poll."""
     conf = environment.base_config()
     reached: dict[str, int] = {}
     for pieces in ([data], codecs.split_pieces(data)):
         facade = ControllerFacade(conf.settings, conf.names, 1, Deadlines())
         journal = JournalClient("10.2.0.1:1", facade, NullHubPool())  # type: ignore[arg-type]
         try:
-            kept = journal._poll(PieceSocket(pieces), Buffer())  # type: ignore[arg-type]
-            end = f"again: {kept}" if len(pieces) < 2 else "again"
+            reusable = journal._poll(PieceSocket(pieces), Buffer())  # type: ignore[arg-type]
+            feature = f"again: {reusable}" if len(pieces) < 2 else "again"
         except POLL_ERRORS as error:
-            end = type(error).__name__
+            feature = type(error).__name__
         except Exception as error:
             return [Violation("parser raised", f"{type(error).__name__}: {str(error)[:200]}")], {}
-        reached[end] = 1
+        reached[feature] = 1
     return [], reached
 
 
-def check_config(data: bytes) -> Result:
-    """The platform's configuration: any bytes are a configuration or a ConfigError."""
+def check_config(data: bytes) -> CheckResult:
+    """Check the platform's configuration: any bytes are a configuration or raise ConfigError."""
     try:
         conf = config.parse(data, "fuzz", {})
         ControllerFacade(conf.settings, conf.names, conf.seed, Deadlines())
@@ -114,16 +114,16 @@
         return [Violation("parser raised", f"{type(error).__name__}: {str(error)[:200]}")], {}
 
 
-def check_toml(data: bytes) -> Result:
-    """The operator's file: any bytes set up fronts that start, or are a ConfigError."""
+def check_toml(data: bytes) -> CheckResult:
+    """Check the operator's configuration file: any bytes allow a clean start or raise ConfigError."""
     try:
-        extras = config.parse_operator_config(data, "fuzz")
+        operator_config = config.parse_operator_config(data, "fuzz")
     except config.ConfigError:
         return [], {"refused": 1}
     except Exception as error:
         return [Violation("parser raised", f"{type(error).__name__}: {str(error)[:200]}")], {}
     runner = scripts.ScriptRunner()
-    runner.env.operator_config = extras
+    runner.env.operator_config = operator_config
     violations = []
     try:
         with runner.env:
@@ -140,7 +140,7 @@
 
 
 @functools.cache
-def _agent() -> Any:
+def _shared_agent() -> Any:
     from barleywheel.snmp.agent import Agent
 
     runner = scripts.ScriptRunner()
@@ -150,27 +150,27 @@
     return agent
 
 
-def check_snmp(data: bytes) -> Result:
-    """The agent's datagrams: any bytes get an answer or none."""
+def check_snmp(data: bytes) -> CheckResult:
+    """Check datagrams to the SNMP agent: any bytes get one UDP datagram as an answer, or no answer."""
     try:
-        answer = _agent().answer(data)
+        answer = _shared_agent().answer(data)
     except Exception as error:
         return [Violation("parser raised", f"{type(error).__name__}: {str(error)[:200]}")], {}
     if answer is not None and len(answer) > 65507:
-        return [Violation("answer too large", f"{len(answer)} bytes for {len(data)}")], {}
+        return [Violation("answer too large", f"{len(answer)} bytes for a request of {len(data)}")], {}
     return [], {"answered" if answer else "dropped": 1}
 
 
-def quick_check(steps: list[list[Any]]) -> Result:
-    """A script without the long spell behind it."""
+def quick_check(steps: list[list[Any]]) -> CheckResult:
+    """Run a script without the long final phase in which the router must recover."""
     return scripts.run_script(steps, thorough=False)
 
 
 def make_circuit_script(source: Source) -> list[list[Any]]:
-    """Scripts of the exchange's link and circuits, with a few calls towards it."""
+    """Generate a script of events on an exchange's link and circuits, with a few calls to that exchange."""
     steps: list[list[Any]] = [["link", "up"]]
     for _ in range(1 + source.below(40)):
-        kind = (
+        step_kind = (
             "iam",
             "iam",
             "new",
@@ -187,8 +187,8 @@
             "wait",
             "wait",
         )[source.below(15)]
-        step = [kind, *scripts.STEP_MAKERS[kind](source)]
-        if kind == "new":
+        step = [step_kind, *scripts.STEP_MAKERS[step_kind](source)]
+        if step_kind == "new":
             step[3] = environment.EXCHANGE_CELL
         steps.append(step)
     return steps
@@ -233,8 +233,8 @@
     for target in (
         Target(
             "jsonlines",
-            "callers' lines, whole and split",
-            _byte_check(codecs.check_jsonlines),
+            "JSON lines from callers, unsplit and split",
+            _count_violated_rules(codecs.check_jsonlines),
             seeds=(
                 caller.encode_setup("9b1f03aa5c7e2d41", 2, b"v=0\r\n\xff\xfe"),
                 caller.encode_message("down", "9b1f03aa5c7e2d41", c=16),
@@ -262,8 +262,8 @@
         ),
         Target(
             "sip",
-            "hubs' messages, whole and split",
-            _byte_check(codecs.check_sip),
+            "SIP messages from hubs, unsplit and split",
+            _count_violated_rules(codecs.check_sip),
             seeds=(
                 sip.invite("9b1f03aa5c7e2d41", 1, "7f3a", "voice", 1500, b"v=0\r\n"),
                 b"SIP/2.0 200 OK\r\nVia: SIP/2.0/TCP p\r\nCall-ID: 9b1f03aa5c7e2d41\r\nCSeq: 1 INVITE\r\n"
@@ -292,8 +292,8 @@
         ),
         Target(
             "m3ua",
-            "exchanges' messages, whole and split, with the ISUP in them",
-            _byte_check(codecs.check_m3ua),
+            "M3UA messages from exchanges, unsplit and split, with the ISUP in them",
+            _count_violated_rules(codecs.check_m3ua),
             seeds=(
                 exchange.encode_iam(1, b"v=0"),
                 exchange.encode_anm(2, b"v=0"),
@@ -311,11 +311,11 @@
         ),
         Target(
             "isup",
-            "one ISUP message",
-            _byte_check(codecs.check_isup),
+            "a single ISUP message",
+            _count_violated_rules(codecs.check_isup),
             seeds=tuple(
-                whole[36:]
-                for whole in (
+                m3ua_message[36:]  # the ISUP message
+                for m3ua_message in (
                     exchange.encode_iam(1, b"v=0"),
                     exchange.encode_anm(2, b"v=0"),
                     exchange.encode_rel(3, 41),
@@ -327,7 +327,7 @@
         ),
         Target(
             "snmp",
-            "the agent's datagrams",
+            "datagrams to the SNMP agent",
             check_snmp,
             seeds=(SNMP_DATAGRAM,),
             dictionary=(
@@ -342,7 +342,7 @@
         ),
         Target(
             "http",
-            "the journal's answers",
+            "HTTP responses of the journal",
             check_http,
             seeds=(
                 HTTP_RESPONSE % (len(JOURNAL_EVENTS), JOURNAL_EVENTS),
@@ -384,7 +384,7 @@
         ),
         Target(
             "toml",
-            "the operator's file, and a start with it",
+            "the operator's configuration file, and a start of the router with it",
             check_toml,
             seeds=(environment.OPERATOR_TOML.encode(),),
             dictionary=(
@@ -408,20 +408,20 @@
         ),
         Target(
             "module",
-            "the decision module, in any order of legal events",
+            "the decision module, with legal events in any order",
             module.run_script,
             module.make_script,
         ),
         Target(
             "circuits",
-            "one exchange's link and circuits",
+            "the signalling link and circuits of one exchange",
             scripts.run_script,
             make_circuit_script,
             quick_check=quick_check,
         ),
         Target(
             "router",
-            "the whole router: callers, hubs, journal, exchange, agent, signals",
+            "the whole router: callers, hubs, journal, exchange, SNMP agent, signals",
             scripts.run_script,
             scripts.make_script,
             quick_check=quick_check,
