--- a/tests/test_fuzz.py
+++ b/tests/test_fuzz.py
@@ -1,4 +1,4 @@
-"""The fuzzer's corpus, its own workings, and its command line."""
+"""Tests of the fuzzer, its corpus and its command line; also replays the corpus as a regression test."""
 
 from __future__ import annotations
 
@@ -19,13 +19,13 @@
 from barleywheel.fuzz.targets import TARGETS
 from tests.network_harness import ROOT
 
-CORPUS = ROOT / "fuzz" / "corpus"
+CORPUS_FOLDER = ROOT / "fuzz" / "corpus"
 CORPUS_SLICES = [
-    pytest.param(name, at, id=f"{name}-{at}")
-    for name in TARGETS
-    for at in range(0, len(corpus.load(CORPUS / f"{name}.jsonl")), 50)
+    pytest.param(target_name, first, id=f"{target_name}-{first}")
+    for target_name in TARGETS
+    for first in range(0, len(corpus.load(CORPUS_FOLDER / f"{target_name}.jsonl")), 50)
 ]
-CALL = [
+ANSWERED_CALL_SCRIPT = [
     ["mode", 1, "stand", 5000],
     ["new", 0, 0, 1, False, 3000, "", 0],
     ["wait", 20000],
@@ -34,9 +34,9 @@
 ]
 
 
-def fuzz(*words: str) -> subprocess.CompletedProcess[str]:
+def run_fuzz_command(*arguments: str) -> subprocess.CompletedProcess[str]:
     return subprocess.run(
-        [sys.executable, "-m", "barleywheel", "fuzz", *words],
+        [sys.executable, "-m", "barleywheel", "fuzz", *arguments],
         cwd=ROOT,
         text=True,
         capture_output=True,
@@ -44,58 +44,58 @@
     )
 
 
-@pytest.mark.parametrize(("name", "at"), CORPUS_SLICES)
-def test_the_corpus_breaks_no_rule(name: str, at: int) -> None:
-    """Fifty kept inputs at a time: the hard cases, what was found, and what reaches something of its own."""
-    for entry in corpus.load(CORPUS / f"{name}.jsonl")[at : at + 50]:
-        violations, _ = TARGETS[name].check(entry.input)
+@pytest.mark.parametrize(("target_name", "first"), CORPUS_SLICES)
+def test_the_corpus_violates_no_rule(target_name: str, first: int) -> None:
+    """Runs 50 corpus inputs: hard cases, former findings, and inputs that reach features of their own."""
+    for entry in corpus.load(CORPUS_FOLDER / f"{target_name}.jsonl")[first : first + 50]:
+        violations, _ = TARGETS[target_name].check(entry.input)
         assert not violations, (entry.note, violations[0], corpus.format_input(entry.input))
 
 
-@pytest.mark.parametrize("name", list(TARGETS))
-def test_a_few_new_inputs_of_each_target_break_no_rule(name: str) -> None:
-    session = FuzzSession(TARGETS[name], 7, [])
+@pytest.mark.parametrize("target_name", list(TARGETS))
+def test_a_few_new_inputs_of_each_target_violate_no_rule(target_name: str) -> None:
+    session = FuzzSession(TARGETS[target_name], 7, [])
     for _ in range(12):
         assert session.run_one() is None, session.progress.findings
 
 
-def test_the_same_script_is_played_the_same_twice() -> None:
+def test_a_script_gives_the_same_result_twice() -> None:
     script = TARGETS["router"].make(SeededSource(11)) if TARGETS["router"].make else []
     first, second = (TARGETS["router"].check(script) for _ in range(2))
     assert first == second and first[1]
 
 
-def test_the_whole_router_serves_a_call_in_memory() -> None:
+def test_the_whole_router_answers_and_releases_a_call_on_the_virtual_network() -> None:
     runner = ScriptRunner()
-    assert not runner.run(CALL)
+    assert not runner.run(ANSWERED_CALL_SCRIPT)
     assert runner.checker.counts["answer up"] >= 1 and runner.checker.counts["release told"] >= 1
 
 
-def test_a_second_answer_is_found_and_made_small(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A fault planted in what serves: the fuzzer finds it from nothing, and shrinks it to a call."""
+def test_a_second_answer_is_found_and_shrunk(monkeypatch: pytest.MonkeyPatch) -> None:
+    """With a fault that rejects each call twice, generated scripts find it and shrink to at most 3 steps."""
     reject = Caller.reject
 
-    def twice(self: Caller, request: object, rejection: Rejection) -> None:
+    def reject_twice(self: Caller, request: object, rejection: Rejection) -> None:
         reject(self, request, rejection)  # type: ignore[arg-type]
         reject(self, request, rejection)  # type: ignore[arg-type]
 
-    monkeypatch.setattr(Caller, "reject", twice)
+    monkeypatch.setattr(Caller, "reject", reject_twice)
     target, source = TARGETS["router"], SeededSource(1)
     assert target.make is not None
-    tried = (target.make(source) for _ in range(200))
-    found, violation = next(
+    scripts = (target.make(source) for _ in range(200))
+    violating_script, violation = next(
         (steps, violations[0])
-        for steps in tried
+        for steps in scripts
         if (violations := target.check(steps)[0]) and violations[0].rule == "second answer"
     )
-    small = shrink_finding(target, found, violation)
-    assert len(small.input) <= 3
+    finding = shrink_finding(target, violating_script, violation)
+    assert len(finding.input) <= 3
     monkeypatch.undo()
-    assert not violates(TARGETS["router"], small.rule)(small.input)
+    assert not violates(TARGETS["router"], finding.rule)(finding.input)
 
 
 def test_a_dropped_answer_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Nothing is told to the caller of a call that does not stand."""
+    """With a fault that drops rejections, a caller whose call is not answered receives no response."""
     monkeypatch.setattr(
         CallManager, "_reject", lambda self, call, rejection: self.open_calls.pop(call.request.ref)
     )
@@ -104,21 +104,21 @@
     assert violations[0].rule == "no answer"
 
 
-def test_choices_from_bytes_end_in_zeros() -> None:
+def test_a_byte_source_yields_zeros_once_its_bytes_run_out() -> None:
     source = ByteSource(b"\x01\x02\x03")
     assert [source.below(10), source.below(1000), source.below(10)] == [1, 515, 0] and source.exhausted
 
 
-def test_the_command_line_names_targets_and_replays(tmp_path: Path) -> None:
-    assert "router" in fuzz("list").stdout
+def test_the_command_line_lists_targets_and_replays_a_finding(tmp_path: Path) -> None:
+    assert "router" in run_fuzz_command("list").stdout
     path = tmp_path / "found.json"
-    corpus.save_finding(path, "router", "second answer", "seen", CALL)
-    done = fuzz("replay", str(path))
-    assert done.returncode == 0 and "1 inputs, 0 break a rule" in done.stdout
+    corpus.save_finding(path, "router", "second answer", "seen", ANSWERED_CALL_SCRIPT)
+    process = run_fuzz_command("replay", str(path))
+    assert process.returncode == 0 and "1 inputs, 0 break a rule" in process.stdout
 
 
-def test_a_run_ends_with_0_where_nothing_is_found(tmp_path: Path) -> None:
-    done = fuzz(
+def test_a_run_without_findings_exits_with_code_0(tmp_path: Path) -> None:
+    process = run_fuzz_command(
         "run",
         "--target",
         "isup",
@@ -135,11 +135,11 @@
         "--found",
         str(tmp_path),
     )
-    assert done.returncode == 0 and done.stdout.count("30 inputs") == 2, done.stdout + done.stderr
+    assert process.returncode == 0 and process.stdout.count("30 inputs") == 2, process.stdout + process.stderr
 
 
 @pytest.mark.parametrize(
-    "words",
+    "arguments",
     [
         ("run", "--target", "nobody"),
         ("replay", "/nowhere/found.json"),
@@ -148,9 +148,13 @@
         ("run", "--engine", "atheris", "--target", "router"),
     ],
 )
-def test_bad_usage_is_one_line_and_exit_code_2(words: tuple[str, ...]) -> None:
-    done = fuzz(*words)
-    assert done.returncode == 2 and done.stderr.startswith("barleywheel: ") and done.stderr.count("\n") == 1
+def test_bad_usage_is_one_line_and_exit_code_2(arguments: tuple[str, ...]) -> None:
+    process = run_fuzz_command(*arguments)
+    assert (
+        process.returncode == 2
+        and process.stderr.startswith("barleywheel: ")
+        and process.stderr.count("\n") == 1
+    )
 
 
 @pytest.mark.parametrize(
@@ -163,19 +167,23 @@
         '{"version": 1, "target": "router", "steps": [7]}',
     ],
 )
-def test_a_file_that_is_no_finding_is_one_line_and_exit_code_2(tmp_path: Path, text: str) -> None:
+def test_a_malformed_finding_file_is_one_line_and_exit_code_2(tmp_path: Path, text: str) -> None:
     path = tmp_path / "found.json"
     path.write_text(text)
-    done = fuzz("replay", str(path))
-    assert done.returncode == 2 and done.stderr.startswith("barleywheel: ") and done.stderr.count("\n") == 1
+    process = run_fuzz_command("replay", str(path))
+    assert (
+        process.returncode == 2
+        and process.stderr.startswith("barleywheel: ")
+        and process.stderr.count("\n") == 1
+    )
 
 
-def test_a_plant_is_found_and_an_unknown_one_is_bad_usage() -> None:
-    done = fuzz("plant", "--name", "padding forgotten", "--seconds", "20")
-    assert done.returncode == 0 and "NOT FOUND" not in done.stdout, done.stdout + done.stderr
-    assert fuzz("plant", "--name", "nothing").returncode == 2
+def test_a_planted_fault_is_found_and_an_unknown_one_is_a_usage_error() -> None:
+    process = run_fuzz_command("plant", "--name", "padding forgotten", "--seconds", "20")
+    assert process.returncode == 0 and "NOT FOUND" not in process.stdout, process.stdout + process.stderr
+    assert run_fuzz_command("plant", "--name", "nothing").returncode == 2
 
 
-def test_every_plant_still_fits_the_program() -> None:
+def test_the_text_that_a_planted_fault_replaces_occurs_once() -> None:
     for fault in PLANTED_FAULTS:
         assert (PACKAGE_FOLDER / fault.file).read_text().count(fault.old) == 1, fault.name
