--- a/barleywheel/fuzz/engine.py
+++ b/barleywheel/fuzz/engine.py
@@ -92,7 +92,7 @@
 
     def _mutate_bytes(self) -> bytes:
         """A kept input with bytes changed, removed, or inserted from the target's words or another input."""
-        source, words = self.source, self.target.words
+        source, words = self.source, self.target.dictionary
         pool = cast(list[bytes], self.pool)
         data = bytearray(pick(source, pool))
         for _ in range(1 + source.below(5)):
