--- a/barleywheel/benchlink.py
+++ b/barleywheel/benchlink.py
@@ -72,12 +72,12 @@
 
 
 class SettingsError(Exception):
-    """A required setting is missing or a setting has an invalid value."""
+    """A required setting is missing or a setting has an invalid value; the text goes to the simulator."""
 
 
 def _required(table: dict[str, Any], key: str, prefix: str) -> Any:
     if table.get(key) is None:
-        raise SettingsError(f"required setting missing: {prefix}{key}")
+        raise SettingsError(f"necessary setting missing: {prefix}{key}")
     return table[key]
 
 
@@ -104,7 +104,7 @@
     try:
         return _settings_from_json(raw)
     except (TypeError, ValueError, OverflowError, AttributeError) as error:
-        raise SettingsError(f"setting with an invalid value: {error}") from error
+        raise SettingsError(f"setting with an unusable value: {error}") from error
 
 
 def _settings_from_json(raw: dict[str, Any]) -> tuple[api.Settings, list[str]]:
@@ -114,7 +114,7 @@
     report = raw.get("report") or {}
     classes = []
     if not isinstance(_required(raw, "classes", ""), list) or not raw["classes"]:
-        raise SettingsError("required setting without entries: classes")
+        raise SettingsError("necessary setting without entries: classes")
     for index, item in enumerate(raw["classes"]):
         mean_hold_us = _item_or_default(family.get("mean_hold_us"), index, None)
         deadline_us = int(_required(item, "hard_limit_us", f"classes[{index}]."))
