--- a/barleywheel/controller.py
+++ b/barleywheel/controller.py
@@ -1,4 +1,4 @@
-"""Routing and admission decisions of one exchange's call controller.
+"""The decision module: routing and admission of the calls of one exchange.
 
 Types, events and actions are in barleywheel/interface.py. The module does no I/O and reads no clock: the
 caller passes the time to ``Controller.handle``. Admission towards each next exchange follows the occupancy
@@ -126,7 +126,7 @@
     def __init__(self, settings: api.Settings, seed: int) -> None:
         self.settings = settings
         self.random = random.Random(seed)
-        self.aim_us = aim_us = min((kind.aim_us for kind in settings.classes), default=EPOCH_US)
+        self.aim_us = aim_us = min((call_class.aim_us for call_class in settings.classes), default=EPOCH_US)
         # Repeated set-ups are extra work for the exchange, so its queue is kept shorter than the repeat time.
         self.target_wait_us = min(WAIT_AIM_SHARE * aim_us, WAIT_REPEAT_SHARE * settings.repeat_us or aim_us)
         self.exchanges: dict[api.ExchangeId, Exchange] = {}
@@ -244,9 +244,9 @@
     def _on_timer_due(self, token: int) -> None:
         if token not in self.timers:
             return
-        if (number := self.timers.pop(token)) is None:
+        if (call_number := self.timers.pop(token)) is None:
             self._on_epoch()
-        elif call := self.calls.get(number):
+        elif call := self.calls.get(call_number):
             self._open_breaker_if_silent(call)
             self._fail(call)
 
@@ -323,11 +323,12 @@
             self._route(call, first=False)  # crankback
 
     def _may_retry_error(self, call: Call, exchange: Exchange, cause: Cause) -> bool:
-        """Whether to retry a call at once that ended in error, as only a limited share of calls may.
+        """Whether to retry at once a call whose attempt ended in error.
 
-        The retry helps calls towards an exchange that fails quickly and often. An error may cost the exchange
-        as much work as a call, so there is no retry while it or our own processor is overloaded, nor after an
-        isolated error. The call must be harmless to repeat, and the retry must be able to meet the aim.
+        An exchange that fails quickly and often may still fail only a share of its set-ups, so a retry helps.
+        An error may cost the exchange as much work as a call, so there is no retry while it or our own
+        processor is overloaded, nor after an isolated error. The call must be harmless to repeat, and the
+        retry must be able to meet the aim.
         """
         took_us = self.now - call.sent_us
         return (
@@ -391,8 +392,12 @@
         It limits a burst, such as the redials after many calls were cut off. Congestion at a remote exchange
         lowers it too.
         """
-        usual = BURST_FACTOR * self.send_rate * (len(self.exchanges) - 1) * self.target_wait_us / 1e6
-        return max(usual, MIN_BURST) / max(1, sum(len(x.queued_sends()) for x in self.exchanges.values()))
+        burst_threshold = (
+            BURST_FACTOR * self.send_rate * (len(self.exchanges) - 1) * self.target_wait_us / 1e6
+        )
+        return max(burst_threshold, MIN_BURST) / max(
+            1, sum(len(x.queued_sends()) for x in self.exchanges.values())
+        )
 
     def _is_admitted(self, call: Call, accept_fraction: float) -> bool:
         """The admission draw: refuses a share of 1 - accept_fraction, of the lowest worth first.
@@ -487,8 +492,8 @@
 
     # Occupancy.
 
-    def _on_load(self, number: api.ExchangeId, load: api.Load) -> None:
-        exchange = self.exchanges.get(number)
+    def _on_load(self, exchange_id: api.ExchangeId, load: api.Load) -> None:
+        exchange = self.exchanges.get(exchange_id)
         free_circuits, group_size, utilisation, can_take = (
             # None, negative, NaN and implausibly large figures mean unknown, never 0.
             value if value is not None and 0.0 <= value <= MAX_PLAUSIBLE_LOAD else None
@@ -545,10 +550,10 @@
             else 0.0,
         )
         for exchange in self.exchanges.values():
-            number, sent_us = next(iter(exchange.pending.items()), (0, self.now))
+            call_number, sent_us = next(iter(exchange.pending.items()), (0, self.now))
             queue_age_us = self.now - next(iter(exchange.queued_sends()), self.now)
             if self.now - sent_us >= self.aim_us:
-                self._open_breaker_if_silent(self.calls[number])
+                self._open_breaker_if_silent(self.calls[call_number])
             exchange.accept_fraction = self._adjusted(
                 exchange.accept_fraction, self._occupancy(exchange, own_delay_us)
             )
