--- a/barleywheel/facade.py
+++ b/barleywheel/facade.py
@@ -85,7 +85,7 @@
         self._hub_list_sent = False
         self.entries: dict[bytes, api.ExchangeEntry] = {}
         self.guard_us, self.home_cell = settings.guard_us, settings.home_cell
-        self._class_deadlines_us = [kind.deadline_us for kind in settings.classes]
+        self._class_deadlines_us = [call_class.deadline_us for call_class in settings.classes]
 
     def knows_class(self, name: str) -> bool:
         """Whether the settings have a class of that name."""
@@ -174,10 +174,10 @@
         """Report the load of the circuit group towards a hub and, if given, of the hub's processor."""
         self._handle_event(api.LoadSeen(hub, api.Outcome.OK, 0, _load_from_report(values)))
 
-    def update_hubs(self, endpoints: list[Endpoint], whole: bool) -> None:
-        """Report changed hubs or, if ``whole`` is set, the complete hub list."""
+    def update_hubs(self, endpoints: list[Endpoint], is_snapshot: bool) -> None:
+        """Report changed hubs or, if ``is_snapshot`` is set, the complete hub list."""
         entries = [self._exchange_entry(endpoint) for endpoint in endpoints]
-        if whole:
+        if is_snapshot:
             self.entries = {}
         for entry in entries:
             if entry.state is api.ExchangeState.GONE:
@@ -187,7 +187,7 @@
         # The first list comes from the configuration and may be out of date.
         mode = api.ListMode.FULL if self._hub_list_sent else api.ListMode.CACHED
         self._hub_list_sent = True
-        self._handle_event(api.Discovery(mode if whole else api.ListMode.DELTA, entries))
+        self._handle_event(api.Discovery(mode if is_snapshot else api.ListMode.DELTA, entries))
 
     def _exchange_entry(self, endpoint: Endpoint) -> api.ExchangeEntry:
         states = {
@@ -229,8 +229,8 @@
                 case api.Fail():
                     decisions[action.call] = Rejection(CAUSE_TEMPORARY_FAILURE)
                 case api.SetTimer():
-                    due: Callable[[], None] = partial(self.fire_timer, action.token)
-                    self._deadlines.schedule(action.due_us, due)
+                    on_due: Callable[[], None] = partial(self.fire_timer, action.token)
+                    self._deadlines.schedule(action.due_us, on_due)
                 case api.Log():
                     log.info("decision module: %s", action.text)
                 case _:
