--- a/barleywheel/router.py
+++ b/barleywheel/router.py
@@ -21,7 +21,7 @@
 log = logging.getLogger("barleywheel")
 # Callers may send new set-ups for this long after SIGTERM.
 NEW_CALL_PERIOD_S = 0.9
-# SIGKILL may follow 0.7 s after the longest call deadline, or after this time if the deadline is longer.
+# SIGKILL may follow 0.7 s after the longest call deadline, of which no more than this time counts.
 MAX_DEADLINE_S = 3.0
 # Calls still open this long after that deadline are rejected, to leave time for sending their answers.
 SHUTDOWN_MARGIN_S = 0.4
