--- a/barleywheel/config.py
+++ b/barleywheel/config.py
@@ -178,9 +178,8 @@
     circuits: list[int] = []
     for part in text.split(","):
         first, _, last = part.partition("-")
-        if (
-            not 0 <= int(first) <= int(last or first) <= MAX_CIC
-        ):  # checked first: a huge range would fill memory
+        # Checked before the range is expanded, because a huge one would fill memory.
+        if not 0 <= int(first) <= int(last or first) <= MAX_CIC:
             raise ValueError(f"circuit range reversed or out of range: {text!r}")
         circuits += range(int(first), int(last or first) + 1)
     if not circuits or len(set(circuits)) < len(circuits):
