--- a/barleywheel/core/call_manager.py
+++ b/barleywheel/core/call_manager.py
@@ -39,7 +39,8 @@
     def __init__(self, facade: ControllerFacade, deadlines: Deadlines, established: EstablishedCalls) -> None:
         self.facade, self.deadlines, self.established = facade, deadlines, established
         self.open_calls: dict[str, Call] = {}
-        self.counts: Counter[str] = Counter()  # for SNMP: calls, attempts, outcomes and rejections
+        # For SNMP: calls, attempts, outcomes and rejections; "stood" counts the established calls.
+        self.counts: Counter[str] = Counter()
         self.default_carrier: Carrier | None = None
         self.carriers: dict[int, Carrier] = {}  # by cell; the others use the default carrier
         self._last_call_number = 0
@@ -156,7 +157,7 @@
         if call.abandoned or call.final_decision is not None:
             attempt.finish(AttemptResult(AttemptStatus.CALLER_GONE))
             return attempt.wait()
-        limit = self.deadlines.schedule(
+        limit_timer = self.deadlines.schedule(
             attempt.started_us + attempt.limit_us,
             lambda: attempt.finish(AttemptResult(AttemptStatus.TIMEOUT)),
         )
@@ -164,7 +165,7 @@
             carrier.place(attempt)
             result = attempt.wait()
         finally:
-            self.deadlines.cancel(limit)
+            self.deadlines.cancel(limit_timer)
         if result.status in (AttemptStatus.TIMEOUT, AttemptStatus.CALLER_GONE, AttemptStatus.CLOSED):
             carrier.cancel(attempt)
             log.info(
