--- a/barleywheel/net/hubs.py
+++ b/barleywheel/net/hubs.py
@@ -66,8 +66,8 @@
 class HubAttempt:
     """Carrier state of an attempt: its connection, CSeq and called number."""
 
-    def __init__(self, conn: HubConnection, cseq: int, number: str) -> None:
-        self.conn, self.cseq, self.number = conn, cseq, number
+    def __init__(self, conn: HubConnection, cseq: int, called_number: str) -> None:
+        self.conn, self.cseq, self.called_number = conn, cseq, called_number
 
 
 class Hub:
@@ -343,6 +343,7 @@
                 return
             now = now_us()
             oldest_sent_us = next(iter(conn.setups.values())).sent_us
+            # Checked again later: read from meanwhile, check too late, or the oldest set-up too recent.
             if (
                 conn.last_received_us != last_received_us
                 or now - due_us > MAX_CHECK_DELAY_US
@@ -369,7 +370,9 @@
         ):
             return
         hub_attempt.conn.remember_ended((ref, hub_attempt.cseq))
-        hub_attempt.conn.write(sip.request("CANCEL", f"sip:{hub_attempt.number}@net", ref, hub_attempt.cseq))
+        hub_attempt.conn.write(
+            sip.request("CANCEL", f"sip:{hub_attempt.called_number}@net", ref, hub_attempt.cseq)
+        )
         if (
             hub_attempt.conn.last_received_us < attempt.sent_us
             and attempt.result is not None
@@ -386,11 +389,17 @@
             return
         hub = self.hubs.get(leg.hub)
         connections = [hub_attempt.conn] + ([c for c in hub.connections if not c.suspect] if hub else [])
-        data = sip.bye(leg.ref, hub_attempt.cseq + 1, hub_attempt.number, cause)
+        data = sip.bye(leg.ref, hub_attempt.cseq + 1, hub_attempt.called_number, cause)
         if not any(conn.write(data) for conn in connections) and hub is not None:
             hub.pending_releases = [pending for pending in hub.pending_releases if pending[0] > now_us()]
             hub.pending_releases.append(
-                (now_us() + RELEASE_RETENTION_US, leg.ref, hub_attempt.cseq + 1, hub_attempt.number, cause)
+                (
+                    now_us() + RELEASE_RETENTION_US,
+                    leg.ref,
+                    hub_attempt.cseq + 1,
+                    hub_attempt.called_number,
+                    cause,
+                )
             )
 
     # Messages from hubs.
