--- a/barleywheel/net/buffer.py
+++ b/barleywheel/net/buffer.py
@@ -52,11 +52,11 @@
         Bytes that were searched without a match are not searched again, because a message received byte by
         byte would otherwise take quadratic time.
         """
-        at = self.data.find(mark, self.start + self.searched(mark), self.end)
-        if at < 0:
+        position = self.data.find(mark, self.start + self.searched(mark), self.end)
+        if position < 0:
             self._searched_mark, self._searched_bytes = mark, max(0, len(self) - len(mark) + 1)
             return -1
-        return at - self.start
+        return position - self.start
 
     def peek(self, count: int) -> bytes:
         """Return the first bytes without consuming them."""
