--- a/barleywheel/net/journal.py
+++ b/barleywheel/net/journal.py
@@ -15,12 +15,12 @@
 from barleywheel.wire import Malformed, journal
 
 log = logging.getLogger(__name__)
-POLL_HOLD_MS = 1000  # how long the service may delay its answer when there is nothing new
-# A poll without an answer by then counts as lost; that is well within the 7 s allowed for it.
+POLL_HOLD_MS = 1000  # how long the service may delay its response when there is nothing new
+# A poll without a response by then counts as lost; that is well within the 7 s allowed for it.
 POLL_TIMEOUT_S = 1.8
 CONNECT_TIMEOUT_S = 0.6
 RETRY_DELAY_S = 0.2
-MAX_ANSWER_BYTES = 4 * 1024 * 1024
+MAX_RESPONSE_BYTES = 4 * 1024 * 1024
 POLL_ERRORS = (OSError, ValueError, Malformed, httptools.HttpParserError, httptools.HttpParserUpgrade)
 
 
@@ -63,7 +63,7 @@
             self._sock.close()  # ends a poll in progress
 
     def apply(self, last: int, events: list[journal.Event]) -> None:
-        """Apply the events of an answer; those applied before are skipped."""
+        """Apply the events of a response; those applied before are skipped."""
         for event in events:
             if event.pos <= self.pos:
                 continue
@@ -117,19 +117,19 @@
             sock.close()
 
     def _poll(self, sock: sockets.Socket, buffer: Buffer) -> bool:
-        """Read one answer; returns whether the connection may be used again."""
-        answer = JournalResponse()
-        parser = answer.parser
+        """Read one response; returns whether the connection may be used again."""
+        response = JournalResponse()
+        parser = response.parser
         deadline_us = now_us() + int(POLL_TIMEOUT_S * 1e6)
-        while not answer.done:
+        while not response.done:
             sock.settimeout(max(0.0, (deadline_us - now_us()) / 1e6))
             if buffer.fill(sock) == 0:
                 raise ConnectionError("connection closed by the service")
             parser.feed_data(buffer.take(len(buffer)))
-            if len(answer.body) > MAX_ANSWER_BYTES:
+            if len(response.body) > MAX_RESPONSE_BYTES:
                 raise ValueError("answer too large")
         if parser.get_status_code() != 200:
             raise ValueError(f"status {parser.get_status_code()}")
-        self.apply(*journal.parse_answer(answer.body))
+        self.apply(*journal.parse_answer(response.body))
         self.alive = True
-        return answer.keep_alive
+        return response.keep_alive
