--- a/barleywheel/wire/isup.py
+++ b/barleywheel/wire/isup.py
@@ -86,12 +86,12 @@
         message = Message(cic & 0xFFF, message_type)
         if message_type == Type.IAM:
             message.category = data[CIC_AND_TYPE.size + 3]
-            pointer_at = CIC_AND_TYPE.size + 5
-            called = _mandatory_variable_parameter(data, pointer_at)
+            pointer_offset = CIC_AND_TYPE.size + 5
+            called = _mandatory_variable_parameter(data, pointer_offset)
             message.number = "".join(f"{byte & 15:x}{byte >> 4:x}" for byte in called[2:])
             # the odd/even bit set: the last digit is filler
             message.number = message.number[: len(message.number) - (called[0] >> 7)]
-            message.description = _optional_parameters(data, pointer_at + 1).get(
+            message.description = _optional_parameters(data, pointer_offset + 1).get(
                 USER_TO_USER_INFORMATION, b""
             )
         elif message_type == Type.ANM:
@@ -105,19 +105,19 @@
         raise IsupDecodeError(f"message truncated: {error}") from error
 
 
-def _mandatory_variable_parameter(data: bytes, pointer_at: int) -> bytes:
-    offset = pointer_at + data[pointer_at]
+def _mandatory_variable_parameter(data: bytes, pointer_offset: int) -> bytes:
+    offset = pointer_offset + data[pointer_offset]
     value = data[offset + 1 : offset + 1 + data[offset]]
-    if len(value) < 2 or len(value) != data[offset] or data[pointer_at] == 0:
+    if len(value) < 2 or len(value) != data[offset] or data[pointer_offset] == 0:
         raise IsupDecodeError("mandatory parameter missing or truncated")
     return value
 
 
-def _optional_parameters(data: bytes, pointer_at: int) -> dict[int, bytes]:
+def _optional_parameters(data: bytes, pointer_offset: int) -> dict[int, bytes]:
     values: dict[int, bytes] = {}
-    if pointer_at >= len(data) or data[pointer_at] == 0:
+    if pointer_offset >= len(data) or data[pointer_offset] == 0:
         return values
-    offset = pointer_at + data[pointer_at]
+    offset = pointer_offset + data[pointer_offset]
     while data[offset] != 0:
         value = data[offset + 2 : offset + 2 + data[offset + 1]]
         if len(value) != data[offset + 1]:
--- a/barleywheel/wire/sip.py
+++ b/barleywheel/wire/sip.py
@@ -52,8 +52,8 @@
         reason = self.headers.get("reason")
         if reason is None:
             return CAUSE_NORMAL_CLEARING
-        found = CAUSE_PARAMETER.search(reason)
-        return int(found[1]) if found and 0 < int(found[1]) < 128 else CAUSE_NORMAL_UNSPECIFIED
+        match = CAUSE_PARAMETER.search(reason)
+        return int(match[1]) if match and 0 < int(match[1]) < 128 else CAUSE_NORMAL_UNSPECIFIED
 
     @property
     def load(self) -> dict[str, float]:
@@ -107,10 +107,10 @@
     if INVALID_CHARACTERS.search(text.replace("\r\n", "")):
         raise Malformed("invalid characters in a header")
     message = Message()
-    if found := STATUS_LINE.match(lines[0]):
-        message.status = int(found[1])
-    elif found := REQUEST_LINE.match(lines[0]):
-        message.method = found[1]
+    if match := STATUS_LINE.match(lines[0]):
+        message.status = int(match[1])
+    elif match := REQUEST_LINE.match(lines[0]):
+        message.method = match[1]
     else:
         raise Malformed("no SIP start line")
     for line in lines[1:]:
