--- a/barleywheel/fronts/m3ua.py
+++ b/barleywheel/fronts/m3ua.py
@@ -164,8 +164,8 @@
             circuit.state = CircuitState.BLOCKED
         elif self.send(isup.Message(circuit.cic, isup.Type.REL, cause=circuit.release_cause)):
             circuit.rel_queued, circuit.rels_sent = False, circuit.rels_sent + 1
-            due = now_us() + self.front.conf.rlc_ms * 1000
-            circuit.rlc_timer = self.front.deadlines.schedule(due, partial(self.send_rel, circuit))
+            due_us = now_us() + self.front.conf.rlc_ms * 1000
+            circuit.rlc_timer = self.front.deadlines.schedule(due_us, partial(self.send_rel, circuit))
         else:
             circuit.rel_queued = True
 
@@ -266,7 +266,10 @@
 
 
 class IncomingOrigin:
-    """The origin of the calls received from one peer; ``release`` finds the circuit by the call reference."""
+    """The origin of the calls received from one peer.
+
+    It is not ``Peer`` itself, whose ``release`` is that of a carrier, for calls placed at the exchange.
+    """
 
     def __init__(self, peer: Peer) -> None:
         self.peer = peer
@@ -287,7 +290,7 @@
     ) -> None:
         self.conf, self.call_manager, self.facade, self.deadlines = conf, call_manager, facade, deadlines
         self.peers = {peer.point_code: Peer(self, peer) for peer in conf.peers}
-        self.origins = {code: IncomingOrigin(peer) for code, peer in self.peers.items()}
+        self.origins = {point_code: IncomingOrigin(peer) for point_code, peer in self.peers.items()}
         self.links: set[Link] = set()
         self._listener: sockets.Listener | None = None
         self._class_names_by_category = {item.category: name for name, item in conf.classes.items()}
--- a/barleywheel/fronts/platform.py
+++ b/barleywheel/fronts/platform.py
@@ -51,7 +51,7 @@
         return self.conn.write(data)
 
     def reject(self, request: Request, rejection: Rejection) -> None:
-        """Report the call as refused or failed, with the time to retry after if the module advises one."""
+        """Report the call as refused or failed, with a retry time if the decision module advises one."""
         # If the call id repeats that of an open call, that call stays open on this connection.
         if request.ref not in self.front.call_manager.open_calls:
             self.refs.discard(request.ref)
