--- a/barleywheel/snmp/agent.py
+++ b/barleywheel/snmp/agent.py
@@ -83,11 +83,11 @@
             objects[HUBS_OID + (1, 3, row)] = v2c.Integer32(entry.cell)
             objects[HUBS_OID + (1, 4, row)] = v2c.Integer32(1 if router.facade.is_ready(key) else 2)
             objects[HUBS_OID + (1, 5, row)] = gauge(len(hub.connections) if hub else 0)
-        for code, peer in (router.m3ua.peers if router.m3ua else {}).items():
+        for point_code, peer in (router.m3ua.peers if router.m3ua else {}).items():
             state = peer.link.asp_state.value if peer.link else "down"
-            objects[LINKS_OID + (1, 2, code)] = v2c.Integer32(LINK_STATE_NUMBERS[state])
-            objects[LINKS_OID + (1, 3, code)] = gauge(len(peer.circuits))
-            objects[LINKS_OID + (1, 4, code)] = gauge(
+            objects[LINKS_OID + (1, 2, point_code)] = v2c.Integer32(LINK_STATE_NUMBERS[state])
+            objects[LINKS_OID + (1, 3, point_code)] = gauge(len(peer.circuits))
+            objects[LINKS_OID + (1, 4, point_code)] = gauge(
                 sum(c.state.value != "idle" for c in peer.circuits.values())
             )
         return objects
