--- a/barleywheel/standins/exchange.py
+++ b/barleywheel/standins/exchange.py
@@ -72,7 +72,7 @@
 def encode_iam(cic: int, description: bytes = b"", category: int = 10, number: str = "7f3a") -> bytes:
     """An IAM; the called number's digits are packed in pairs, the first in the low half of the byte."""
     padded = number + "0" * (len(number) % 2)
-    digits = bytes(int(padded[at + 1] + padded[at], 16) for at in range(0, len(padded), 2))
+    digits = bytes(int(padded[index + 1] + padded[index], 16) for index in range(0, len(padded), 2))
     called_number = bytes([3 | 0x80 * (len(number) % 2), 0x10]) + digits
     options = b"\x20" + bytes([len(description)]) + description + b"\0" if description else b""
     pointers = bytes([2, len(called_number) + 2 if options else 0])
@@ -152,13 +152,13 @@
             self._handle_message(message_code, body)
 
     def _handle_message(self, message_code: int, body: bytes) -> None:
-        params, at = {}, 0
-        while at < len(body):
-            tag, size = struct.unpack_from(">HH", body, at)
-            if size < 4 or at + size > len(body):
+        params, offset = {}, 0
+        while offset < len(body):
+            tag, size = struct.unpack_from(">HH", body, offset)
+            if size < 4 or offset + size > len(body):
                 raise ProtocolError(f"exchange: M3UA parameter {tag:#x} with length {size}")
-            params[tag] = body[at + 4 : at + size]
-            at += size + -size % 4
+            params[tag] = body[offset + 4 : offset + size]
+            offset += size + -size % 4
         if message_code == ASPAC_ACK:
             self.active = True
         elif message_code in (ASPIA_ACK, ASPDN_ACK):
@@ -184,8 +184,8 @@
         if isup_type in (IAM, ANM):
             pointer = 6 if isup_type == IAM else 0  # to the optional parameters
             if body[pointer]:
-                at = pointer + body[pointer]
-                if body[at] != 0x20 or len(body) != at + 3 + body[at + 1] or body[-1] != 0:
+                offset = pointer + body[pointer]
+                if body[offset] != 0x20 or len(body) != offset + 3 + body[offset + 1] or body[-1] != 0:
                     raise ProtocolError(f"exchange: malformed user-to-user information in {body!r}")
-                description = body[at + 2 : -1]
+                description = body[offset + 2 : -1]
         self.on_message(self, cic, isup_type, body, description)
--- a/barleywheel/standins/hub.py
+++ b/barleywheel/standins/hub.py
@@ -178,7 +178,7 @@
         self.setups: list[Setup] = []  # all that were received, in order
         self.established: dict[str, HubConnection] = {}  # by call id
         self.mode, self.delay_us = "stand", 0
-        self.ignores_options = False  # does not answer OPTIONS, so the router's connection test fails
+        self.ignores_options = False  # does not answer OPTIONS, so the router closes a silent connection
         self.free_circuits, self.group_size = 20, 20
 
     def accept_connection(self, transport: Transport) -> HubConnection:
@@ -201,10 +201,10 @@
                     self._schedule(self.delay_us, lambda: self.answer_by_mode(setup))
             case "CANCEL":
                 conn.transport.write(encode_response(message, 200))
-                pending = conn.setups.get(message.ref)
-                if pending is not None and pending.open:
-                    pending.open, pending.cancelled = False, True
-                    self.observer.on_given_up(self, pending)
+                cancelled_setup = conn.setups.get(message.ref)
+                if cancelled_setup is not None and cancelled_setup.open:
+                    cancelled_setup.open, cancelled_setup.cancelled = False, True
+                    self.observer.on_given_up(self, cancelled_setup)
             case "BYE":
                 conn.transport.write(encode_response(message, 200))
                 self.established.pop(message.ref, None)
