--- a/barleywheel/net/journal.py
+++ b/barleywheel/net/journal.py
@@ -110,7 +110,7 @@
                 previous_pos, sent_us = self.pos, now_us()
                 reusable = self._poll(sock, buffer)
                 if reusable and self.pos == previous_pos and now_us() - sent_us < POLL_HOLD_MS * 500:
-                    # Avoids a busy loop if the service answers immediately without events.
+                    # Avoids a busy loop if the service responds immediately without events.
                     self._address_changed.wait(RETRY_DELAY_S)
         finally:
             self._sock = None
@@ -130,6 +130,6 @@
                 raise ValueError("answer too large")
         if parser.get_status_code() != 200:
             raise ValueError(f"status {parser.get_status_code()}")
-        self.apply(*journal.parse_answer(response.body))
+        self.apply(*journal.parse_response(response.body))
         self.alive = True
         return response.keep_alive
--- a/barleywheel/wire/journal.py
+++ b/barleywheel/wire/journal.py
@@ -1,4 +1,4 @@
-"""Codec for the journal's answers: numbered events that list hubs; one invalid part rejects the answer."""
+"""Codec for the journal's responses: numbered events that list hubs; one invalid part rejects all of it."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from barleywheel.wire import Malformed
 
-MAX_EVENTS = 10_000  # per answer
+MAX_EVENTS = 10_000  # per response
 MAX_ENDPOINTS = 10_000  # per event
 MAX_NAME_LENGTH = 256
 MAX_EXACT_INTEGER = 1 << 53  # larger numbers lose precision as JSON numbers
@@ -38,8 +38,8 @@
     endpoints: list[Endpoint]
 
 
-def parse_answer(body: bytes) -> tuple[int, list[Event]]:
-    """Return the last event number and the events of an answer; Malformed if any part is invalid."""
+def parse_response(body: bytes) -> tuple[int, list[Event]]:
+    """Return the last event number and the events of a response; Malformed if any part is invalid."""
     try:
         raw = json.loads(body)
     except (ValueError, RecursionError) as error:
@@ -48,7 +48,7 @@
 
 
 def parse_events(raw: object) -> tuple[int, list[Event]]:
-    """Like ``parse_answer`` for decoded JSON, such as ``known`` in the configuration."""
+    """Like ``parse_response`` for decoded JSON, such as ``known`` in the configuration."""
     if not isinstance(raw, dict):
         raise Malformed("answer is not an object")
     entries = raw.get("entries") or []
