--- a/barleywheel/fuzz/scripts.py
+++ b/barleywheel/fuzz/scripts.py
@@ -501,19 +501,19 @@
     def do_bye(self, cell: int, which: int, cause: int = 16) -> None:
         """A hub releases a call that stands there."""
         peer_hub = self._hub(cell)
-        if peer_hub.established and peer_hub.conns:
+        if peer_hub.established and peer_hub.connections:
             refs = list(peer_hub.established)
             peer_hub.send_bye(refs[-1 - which % len(refs)], cause)
 
     def do_stray(self, cell: int, call: int, cause: int = 16) -> None:
         """A hub releases a call, whether it has it or not, and answers a set-up that it never got."""
         peer_hub = self._hub(cell)
-        if peer_hub.conns:
+        if peer_hub.connections:
             if call_ref(call) not in peer_hub.established and not any(
                 call_ref(call) in other.established for other in self.env.hubs.values()
             ):
                 peer_hub.send_bye(call_ref(call), cause)
-            conn = peer_hub.conns[0]
+            conn = peer_hub.connections[0]
             conn.transport.write(
                 b"SIP/2.0 200 OK\r\nCall-ID: ffff0000ffff0000\r\nCSeq: 1 INVITE\r\n"
                 b"Content-Length: 2\r\n\r\nzz"
@@ -522,11 +522,11 @@
     def do_spoil(self, cell: int, which: int) -> None:
         """A hub writes what can't be read."""
         peer_hub = self._hub(cell)
-        if peer_hub.conns:
+        if peer_hub.connections:
             raw = MALFORMED_HUB_DATA[which % len(MALFORMED_HUB_DATA)]
             self.checker.on_hub_failed(peer_hub.name, dead=False)
             self.checker.unknown_releases["ffff03aa00000002"] = 1
-            peer_hub.conns[-1].transport.write(raw)
+            peer_hub.connections[-1].transport.write(raw)
 
     def do_gauge(self, cell: int, free: int) -> None:
         """The state of a group."""
@@ -542,19 +542,19 @@
             peer_hub.established.clear()
         elif how == "vanish":
             self.env.network.unreachable.add(address)
-            for conn in peer_hub.conns:
+            for conn in peer_hub.connections:
                 conn.transport.silent = True  # type: ignore[attr-defined]
             for setup in peer_hub.setups:
                 if setup.open:
                     self.checker.on_given_up(peer_hub, setup)
                     setup.open = False
-            peer_hub.conns.clear()
+            peer_hub.connections.clear()
             peer_hub.established.clear()
             return
         elif how == "deaf":
             peer_hub.ignores_options = True
             return
-        for conn in list(peer_hub.conns):
+        for conn in list(peer_hub.connections):
             conn.close(reset=how != "close")
 
     def do_mend(self, cell: int) -> None:
@@ -594,7 +594,7 @@
         name = self.hub_names[cell] = f"h{cell}r{self.replacement_count}"
         if not overlap:
             self._publish([hub_endpoint(old, "Terminating")])
-            for conn in list(self.env.hubs[old].conns):
+            for conn in list(self.env.hubs[old].connections):
                 conn.close()
             self._publish([hub_endpoint(old, "Gone")])
         self.env.add_hub(name)
@@ -602,7 +602,7 @@
         self._publish([hub_endpoint(name, since_ms=since_ms)])
         if overlap:
             self._publish([hub_endpoint(old, "Gone")])
-            for conn in list(self.env.hubs[old].conns):
+            for conn in list(self.env.hubs[old].connections):
                 conn.close()
 
     def do_journal(self, mode: str) -> None:
--- a/barleywheel/standins/hub.py
+++ b/barleywheel/standins/hub.py
@@ -128,7 +128,7 @@
     def connection_lost(self, reset: bool) -> None:
         """See ``virtual.network.StreamHandler``; open set-ups on the connection count as given up."""
         self.open = False
-        self.hub.conns.remove(self)
+        self.hub.connections.remove(self)
         for setup in self.setups.values():
             if setup.open:
                 setup.open, setup.cancelled = False, True
@@ -174,7 +174,7 @@
 
     def __init__(self, name: str, cell: int, observer: HubObserver, schedule: Scheduler) -> None:
         self.name, self.cell, self.observer, self._schedule = name, cell, observer, schedule
-        self.conns: list[HubConnection] = []
+        self.connections: list[HubConnection] = []
         self.setups: list[Setup] = []  # all that were received, in order
         self.established: dict[str, HubConnection] = {}  # by call id
         self.mode, self.delay_us = "stand", 0
@@ -184,7 +184,7 @@
     def accept_connection(self, transport: Transport) -> HubConnection:
         """Accept a connection from the router; the first message on it is the state of the group."""
         conn = HubConnection(self, transport)
-        self.conns.append(conn)
+        self.connections.append(conn)
         conn.send_request(
             "NOTIFY sip:group@net", "x", f"X-State: x0:{self.free_circuits};x1:{self.group_size}"
         )
@@ -240,7 +240,7 @@
         """Release a call: on the connection that carried its set-up, else on any open one."""
         conn = self.established.pop(ref, None)
         if conn is None or not conn.open:
-            conn = self.conns[-1] if self.conns else None
+            conn = self.connections[-1] if self.connections else None
         if conn is None:
             return False
         self.observer.on_releasing(self, ref)
@@ -249,7 +249,7 @@
     def send_state(self, free: int) -> None:
         """Send the state of the group on every connection, with ``free`` circuits from now on."""
         self.free_circuits = free
-        for conn in list(self.conns):
+        for conn in list(self.connections):
             conn.send_request("NOTIFY sip:group@net", "x", f"X-State: x0:{free};x1:{self.group_size}")
 
 
