--- a/barleywheel/wire/journal.py
+++ b/barleywheel/wire/journal.py
@@ -1,4 +1,4 @@
-"""Codec for the journal's responses: numbered events that list hubs; one invalid part rejects all of it."""
+"""Codec for the journal's responses, which list hubs. An invalid part rejects the whole response."""
 
 from __future__ import annotations
 
