--- a/barleywheel/fuzz/scripts.py
+++ b/barleywheel/fuzz/scripts.py
@@ -530,19 +530,19 @@
     def do_bye(self, cell: int, which: int, cause: int = 16) -> None:
         """A hub releases one of its established calls."""
         hub_model = self._hub(cell)
-        if hub_model.established and hub_model.conns:
+        if hub_model.established and hub_model.connections:
             refs = list(hub_model.established)
             hub_model.send_bye(refs[-1 - which % len(refs)], cause)
 
     def do_stray(self, cell: int, call: int, cause: int = 16) -> None:
         """A hub releases a call that no hub has, and responds to a set-up that it never received."""
         hub_model = self._hub(cell)
-        if hub_model.conns:
+        if hub_model.connections:
             if call_ref(call) not in hub_model.established and not any(
                 call_ref(call) in other.established for other in self.env.hubs.values()
             ):
                 hub_model.send_bye(call_ref(call), cause)
-            conn = hub_model.conns[0]
+            conn = hub_model.connections[0]
             conn.transport.write(
                 b"SIP/2.0 200 OK\r\nCall-ID: ffff0000ffff0000\r\nCSeq: 1 INVITE\r\n"
                 b"Content-Length: 2\r\n\r\nzz"
@@ -551,11 +551,11 @@
     def do_spoil(self, cell: int, which: int) -> None:
         """A hub sends malformed data."""
         hub_model = self._hub(cell)
-        if hub_model.conns:
+        if hub_model.connections:
             raw = MALFORMED_HUB_DATA[which % len(MALFORMED_HUB_DATA)]
             self.checker.on_hub_failed(hub_model.name, gone=False)
             self.checker.unknown_releases["ffff03aa00000002"] = 1
-            hub_model.conns[-1].transport.write(raw)
+            hub_model.connections[-1].transport.write(raw)
 
     def do_gauge(self, cell: int, free: int) -> None:
         """A hub reports its number of free circuits."""
@@ -571,19 +571,19 @@
             hub_model.established.clear()
         elif how == "vanish":
             self.env.network.unreachable.add(address)
-            for conn in hub_model.conns:
+            for conn in hub_model.connections:
                 conn.transport.silent = True  # type: ignore[attr-defined]
             for setup in hub_model.setups:
                 if setup.open:
                     self.checker.on_given_up(hub_model, setup)
                     setup.open = False
-            hub_model.conns.clear()
+            hub_model.connections.clear()
             hub_model.established.clear()
             return
         elif how == "deaf":
             hub_model.ignores_options = True
             return
-        for conn in list(hub_model.conns):
+        for conn in list(hub_model.connections):
             conn.close(reset=how != "close")
 
     def do_mend(self, cell: int) -> None:
@@ -623,7 +623,7 @@
         name = self.hub_names[cell] = f"h{cell}r{self.replacement_count}"
         if not overlap:
             self._publish([hub_endpoint(old, "Terminating")])
-            for conn in list(self.env.hubs[old].conns):
+            for conn in list(self.env.hubs[old].connections):
                 conn.close()
             self._publish([hub_endpoint(old, "Gone")])
         self.env.add_hub(name)
@@ -631,7 +631,7 @@
         self._publish([hub_endpoint(name, since_ms=since_ms)])
         if overlap:
             self._publish([hub_endpoint(old, "Gone")])
-            for conn in list(self.env.hubs[old].conns):
+            for conn in list(self.env.hubs[old].connections):
                 conn.close()
 
     def do_journal(self, mode: str) -> None:
