--- a/barleywheel/net/journal.py
+++ b/barleywheel/net/journal.py
@@ -16,7 +16,8 @@
 
 log = logging.getLogger(__name__)
 POLL_HOLD_MS = 1000  # how long the service may delay its response when there is nothing new
-# A poll without a response by then counts as lost; that is well within the 7 s allowed for it.
+# A poll without a response by then counts as lost. This is well within 7 s: the platform counts a change of
+# the hub list as known 7 s after the journal has it, at the latest.
 POLL_TIMEOUT_S = 1.8
 CONNECT_TIMEOUT_S = 0.6
 RETRY_DELAY_S = 0.2
