--- a/barleywheel/fuzz/module.py
+++ b/barleywheel/fuzz/module.py
@@ -212,14 +212,14 @@
                 self.add_violation("table not empty", f"{name}: {len(table)}")
         return self.violations
 
-    def _pick_call(self, which: int, with_attempt: bool) -> OpenCall | None:
+    def _pick_call(self, call_index: int, with_attempt: bool) -> OpenCall | None:
         """An open call, counted from the latest; ``with_attempt`` takes only calls with an attempt out."""
-        found = [
+        candidates = [
             call
             for call in self.calls.values()
             if (call.attempt_exchange is not None) == with_attempt or not with_attempt
         ]
-        return found[-1 - which % len(found)] if found else None
+        return candidates[-1 - call_index % len(candidates)] if candidates else None
 
     def do_offer(self, destination: int, kind: int, left_us: int, flags: int) -> None:
         """A call is offered. Bits of ``flags``: 1 redialled, 2 in transit, 4 interrupted before."""
@@ -238,16 +238,20 @@
         self.calls[self.number] = OpenCall(self.number, offer, self.now + left_us)
         self.handle_event(offer)
 
-    def do_stands(self, which: int, took_us: int) -> None:
+    def do_stands(self, call_index: int, took_us: int) -> None:
         """An attempt is answered."""
-        if (call := self._pick_call(which, True)) is not None and call.attempt_exchange is not None:
+        if (call := self._pick_call(call_index, True)) is not None and call.attempt_exchange is not None:
             del self.calls[call.number]
             self.handle_event(api.CallStands(call.number, call.attempts - 1, call.attempt_exchange, took_us))
 
-    def do_end(self, which: int, how: int, cause: int, downstream_overloaded: int) -> None:
+    def do_end(self, call_index: int, outcome_index: int, cause: int, downstream_overloaded: int) -> None:
         """An attempt fails."""
-        if (call := self._pick_call(which, True)) is not None and call.attempt_exchange is not None:
-            outcome, exchange, call.attempt_exchange = FAILED_OUTCOMES[how], call.attempt_exchange, None
+        if (call := self._pick_call(call_index, True)) is not None and call.attempt_exchange is not None:
+            outcome, exchange, call.attempt_exchange = (
+                FAILED_OUTCOMES[outcome_index],
+                call.attempt_exchange,
+                None,
+            )
             if outcome in GUARDED_OUTCOMES:
                 call.guarded_until_us = self.now + self.settings.guard_us
             self.handle_event(
@@ -262,15 +266,17 @@
                 )
             )
 
-    def do_stale(self, which: int, how: int) -> None:
+    def do_stale(self, call_index: int, outcome_index: int) -> None:
         """An attempt ends that is already over or was never made."""
         self.handle_event(
-            api.AttemptEnded(self.number + 1 - which, 7, self.exchange_id(1), FAILED_OUTCOMES[how])
+            api.AttemptEnded(
+                self.number + 1 - call_index, 7, self.exchange_id(1), FAILED_OUTCOMES[outcome_index]
+            )
         )
 
-    def do_gone(self, which: int) -> None:
+    def do_gone(self, call_index: int) -> None:
         """A caller abandons its call."""
-        if (call := self._pick_call(which, False)) is not None:
+        if (call := self._pick_call(call_index, False)) is not None:
             self.handle_event(api.CallerGone(call.number))
             self.calls.pop(call.number, None)
 
--- a/barleywheel/fuzz/rules.py
+++ b/barleywheel/fuzz/rules.py
@@ -491,25 +491,25 @@
         self.offers.append(offer)
 
     def on_isup(
-        self, peer_exchange: exchange.Exchange, cic: int, kind: int, body: bytes, found: bytes
+        self, peer_exchange: exchange.Exchange, cic: int, kind: int, body: bytes, description: bytes
     ) -> None:
         """See ``standins.exchange.MessageHandler``: the router sent an ISUP message."""
         inbound, outbound = self.inbound_circuits.get(cic), self.outbound_circuits.get(cic)
         if kind == exchange.IAM:
             if outbound is not None or inbound is not None and "ACM" in inbound.answers:
                 self.add_violation("circuit taken twice", f"IAM on circuit {cic}")
-            offer = next((o for o in self.offers if o.description == found and o.open), None)
+            offer = next((o for o in self.offers if o.description == description and o.open), None)
             if offer is None:
-                self.add_violation("set-up of nobody's", f"IAM on circuit {cic} with {found!r}")
+                self.add_violation("set-up of nobody's", f"IAM on circuit {cic} with {description!r}")
                 return
             self.outbound_circuits[cic] = offer
             self.count("IAM received")
-            self.on_attempt(offer, "h4", 4, found, offer.called_number)
+            self.on_attempt(offer, "h4", 4, description, offer.called_number)
         elif kind == exchange.ANM:
             if inbound is None:
                 self.add_violation("answer to nobody", f"ANM on circuit {cic}")
             elif self._record_answer(inbound, "up"):
-                self._record_established(inbound, found)
+                self._record_established(inbound, description)
                 self.count("ANM received")
         elif kind == exchange.REL:
             self._on_circuit_released(cic, inbound, outbound, body[4] & 0x7F)
--- a/barleywheel/fuzz/scripts.py
+++ b/barleywheel/fuzz/scripts.py
@@ -326,9 +326,9 @@
         self.checker.on_router_closed(caller_model, reset)
 
     def _on_isup(
-        self, exchange_model: exchange.Exchange, cic: int, kind: int, body: bytes, found: bytes
+        self, exchange_model: exchange.Exchange, cic: int, kind: int, body: bytes, description: bytes
     ) -> None:
-        self.checker.on_isup(exchange_model, cic, kind, body, found)
+        self.checker.on_isup(exchange_model, cic, kind, body, description)
         if kind == exchange.IAM and exchange_model.answers_calls:
             self.env.runtime.after(0, lambda: self._send_answer(cic))
         elif kind == exchange.REL and exchange_model.completes_releases:
@@ -469,12 +469,12 @@
             self.checker.known_callers.add(caller_model)
             caller_model.transport.write(caller.encode_message("hb", "1", c=0))
 
-    def do_raw(self, conn: int, which: int) -> None:
+    def do_raw(self, conn: int, sample_index: int) -> None:
         """A caller sends malformed or invalid data."""
         if (caller_model := self._connect_caller(conn)) is not None:
             self.checker.closable_callers.add(caller_model)
             self.checker.ignored_refs.add(MALFORMED_REF)
-            caller_model.transport.write(MALFORMED_CALLER_DATA[which % len(MALFORMED_CALLER_DATA)])
+            caller_model.transport.write(MALFORMED_CALLER_DATA[sample_index % len(MALFORMED_CALLER_DATA)])
 
     def do_hang(self, conn: int, reset: int = 0) -> None:
         """A caller closes or resets its connection."""
@@ -508,31 +508,31 @@
         hub_model = self._hub(cell)
         hub_model.mode, hub_model.delay_us = mode, delay_us
 
-    def do_answer(self, cell: int, which: int, status: str = "200") -> None:
-        """A hub responds to a set-up; ``which`` counts from the latest."""
+    def do_answer(self, cell: int, index_from_latest: int, status: str = "200") -> None:
+        """A hub responds to a set-up; ``index_from_latest`` counts from the latest."""
         hub_model = self._hub(cell)
         if hub_model.setups:
             code, _, note = status.partition(" ")
-            setup = hub_model.setups[-1 - which % len(hub_model.setups)]
+            setup = hub_model.setups[-1 - index_from_latest % len(hub_model.setups)]
             if not any(before >= 200 for before in setup.answers):
                 hub_model.answer(setup, int(code), note)
 
-    def do_copy(self, cell: int, which: int) -> None:
+    def do_copy(self, cell: int, index_from_latest: int) -> None:
         """A hub retransmits a final response."""
         hub_model = self._hub(cell)
         answered = [setup for setup in hub_model.setups if any(status >= 200 for status in setup.answers)]
         if answered:
-            setup = answered[-1 - which % len(answered)]
+            setup = answered[-1 - index_from_latest % len(answered)]
             if setup.conn.open:
                 body = hub.hub_description(hub_model.name, setup.ref) if setup.answers[-1] < 300 else b""
                 setup.conn.transport.write(hub.encode_response(setup.message, setup.answers[-1], body))
 
-    def do_bye(self, cell: int, which: int, cause: int = 16) -> None:
+    def do_bye(self, cell: int, index_from_latest: int, cause: int = 16) -> None:
         """A hub releases one of its established calls."""
         hub_model = self._hub(cell)
         if hub_model.established and hub_model.connections:
             refs = list(hub_model.established)
-            hub_model.send_bye(refs[-1 - which % len(refs)], cause)
+            hub_model.send_bye(refs[-1 - index_from_latest % len(refs)], cause)
 
     def do_stray(self, cell: int, call: int, cause: int = 16) -> None:
         """A hub releases a call that no hub has, and responds to a set-up that it never received."""
@@ -548,11 +548,11 @@
                 b"Content-Length: 2\r\n\r\nzz"
             )
 
-    def do_spoil(self, cell: int, which: int) -> None:
+    def do_spoil(self, cell: int, sample_index: int) -> None:
         """A hub sends malformed data."""
         hub_model = self._hub(cell)
         if hub_model.connections:
-            raw = MALFORMED_HUB_DATA[which % len(MALFORMED_HUB_DATA)]
+            raw = MALFORMED_HUB_DATA[sample_index % len(MALFORMED_HUB_DATA)]
             self.checker.on_hub_failed(hub_model.name, gone=False)
             self.checker.unknown_releases["ffff03aa00000002"] = 1
             hub_model.connections[-1].transport.write(raw)
@@ -561,15 +561,15 @@
         """A hub reports its number of free circuits."""
         self._hub(cell).send_state(free)
 
-    def do_lose(self, cell: int, how: str) -> None:
+    def do_lose(self, cell: int, fault: str) -> None:
         """A hub's process dies, its machine becomes unreachable, its connections end, or it fails checks."""
         hub_model = self._hub(cell)
         address = hub_address(hub_model.name)
         self.checker.on_hub_failed(hub_model.name, gone=False)
-        if how == "die":
+        if fault == "die":
             self.env.network.hosts.pop(address, None)
             hub_model.established.clear()
-        elif how == "vanish":
+        elif fault == "vanish":
             self.env.network.unreachable.add(address)
             for conn in hub_model.connections:
                 conn.transport.silent = True  # type: ignore[attr-defined]
@@ -580,11 +580,11 @@
             hub_model.connections.clear()
             hub_model.established.clear()
             return
-        elif how == "deaf":
+        elif fault == "deaf":
             hub_model.ignores_options = True
             return
         for conn in list(hub_model.connections):
-            conn.close(reset=how != "close")
+            conn.close(reset=fault != "close")
 
     def do_mend(self, cell: int) -> None:
         """A hub's process, machine and answers to checks are restored."""
@@ -653,21 +653,21 @@
     def _journal_address(self) -> tuple[str, int]:
         return JOURNAL_ADDRESSES[max(0, self.env.journal_index)]
 
-    def do_garble(self, which: int) -> None:
+    def do_garble(self, sample_index: int) -> None:
         """The journal answers its open polls with a malformed body, and further ones for 250 ms."""
         journal = self.env.journal
         journal.mode, journal.bad_body = (
             "garble",
-            MALFORMED_JOURNAL_BODIES[which % len(MALFORMED_JOURNAL_BODIES)],
+            MALFORMED_JOURNAL_BODIES[sample_index % len(MALFORMED_JOURNAL_BODIES)],
         )
         self._serve_bad_body()
 
-    def do_http(self, which: int) -> None:
+    def do_http(self, sample_index: int) -> None:
         """The journal answers its open polls with malformed HTTP, and further ones for 250 ms."""
         journal = self.env.journal
         journal.mode, journal.bad_body = (
             "raw",
-            MALFORMED_HTTP_RESPONSES[which % len(MALFORMED_HTTP_RESPONSES)],
+            MALFORMED_HTTP_RESPONSES[sample_index % len(MALFORMED_HTTP_RESPONSES)],
         )
         self._serve_bad_body()
 
@@ -689,12 +689,12 @@
         else:
             journal.entries = journal.entries[-3:] + journal.entries[-1:]
 
-    def do_hup(self, how: int) -> None:
-        """SIGHUP: with 0 the journal has moved, with 2 the configuration file is invalid."""
-        if how == 0:
+    def do_hup(self, variant: int) -> None:
+        """SIGHUP: with ``variant`` 0 the journal has moved, with 2 the configuration file is invalid."""
+        if variant == 0:
             self.env.move_journal()
         before = self.env.journal_index
-        if how == 2:
+        if variant == 2:
             self.env.journal_index = -1
         self.env.router.reload.set()
         self.env.run(0)
@@ -708,24 +708,24 @@
 
     # The exchange.
 
-    def do_link(self, how: str) -> None:
+    def do_link(self, event: str) -> None:
         """The exchange's link comes up or ends, its ASP changes state, or BEAT goes unanswered."""
         exchange_model = self.env.exchange
-        if how == "up":
+        if event == "up":
             if exchange_model.active:
                 self._on_link_lost()  # ASPUP makes an active ASP inactive (RFC 4666, 4.3.4.1)
             if self.env.connect_link():
                 exchange_model.activate()
             return
-        if how == "mute":
+        if event == "mute":
             exchange_model.answers_heartbeats = not exchange_model.answers_heartbeats
             return
-        if how == "inactive":
+        if event == "inactive":
             exchange_model.write(exchange.encode(exchange.ASPIA, exchange.ROUTING_CONTEXT))
-        elif how == "down":
+        elif event == "down":
             exchange_model.write(exchange.encode(exchange.ASPDN, {}))
         else:
-            exchange_model.drop(how == "reset")
+            exchange_model.drop(event == "reset")
         self._on_link_lost()
 
     def _on_link_lost(self) -> None:
@@ -772,20 +772,20 @@
             self.env.exchange.write(exchange.encode_anm(cic, hub.hub_description("h4", offer.ref)[:250]))
             self.checker.unresolved_answers["h4", offer.ref] = self.env.now_us
 
-    def do_anm(self, which: int) -> None:
+    def do_anm(self, index: int) -> None:
         """The exchange answers a call."""
         if self.checker.outbound_circuits:
             self._send_answer(
-                list(self.checker.outbound_circuits)[which % len(self.checker.outbound_circuits)]
+                list(self.checker.outbound_circuits)[index % len(self.checker.outbound_circuits)]
             )
 
-    def do_rel(self, which: int, cause: int = 16, reset: int = 0) -> None:
+    def do_rel(self, index: int, cause: int = 16, reset: int = 0) -> None:
         """The exchange sends REL, or RSC if ``reset``, on a circuit that has a call."""
         checker, exchange_model = self.checker, self.env.exchange
         busy = sorted(set(checker.inbound_circuits) | set(checker.outbound_circuits))
         if not busy or not exchange_model.active:
             return
-        cic = busy[which % len(busy)]
+        cic = busy[index % len(busy)]
         inbound, outbound = checker.inbound_circuits.get(cic), checker.outbound_circuits.get(cic)
         if cic in checker.released_by:
             return
@@ -823,33 +823,33 @@
         ):
             self.checker.on_circuit_freed(cic)
 
-    def do_rlc(self, which: int) -> None:
+    def do_rlc(self, index: int) -> None:
         """The exchange sends an RLC that it has held back."""
         waiting = [cic for cic, who in self.checker.released_by.items() if who == "router"]
         if waiting:
-            self._complete_release(waiting[which % len(waiting)])
+            self._complete_release(waiting[index % len(waiting)])
 
     def do_exchange(self, answers: int, completes: int) -> None:
         """Set whether the exchange answers calls and completes releases by itself."""
         exchange_model = self.env.exchange
         exchange_model.answers_calls, exchange_model.completes_releases = bool(answers), bool(completes)
 
-    def do_frame(self, which: int) -> None:
+    def do_frame(self, sample_index: int) -> None:
         """The exchange sends a malformed or unexpected message."""
-        raw = MALFORMED_M3UA_DATA[which % len(MALFORMED_M3UA_DATA)]
+        raw = MALFORMED_M3UA_DATA[sample_index % len(MALFORMED_M3UA_DATA)]
         self.env.exchange.write(raw)
         # After a broken message header the router can't parse what follows, so the link is dropped.
-        if which % len(MALFORMED_M3UA_DATA) in (0, 2):
+        if sample_index % len(MALFORMED_M3UA_DATA) in (0, 2):
             self.env.run(0)
             self.env.exchange.drop()
             self._on_link_lost()
 
     # The operator, the clock and the operating system.
 
-    def do_snmp(self, which: int) -> None:
+    def do_snmp(self, sample_index: int) -> None:
         """The SNMP agent receives a malformed datagram."""
         agent = self.env.network.datagram_sockets[SNMP_LISTEN_ADDRESS]
-        agent.deliver(MALFORMED_SNMP_DATA[which % len(MALFORMED_SNMP_DATA)], ("10.5.0.1", 161))
+        agent.deliver(MALFORMED_SNMP_DATA[sample_index % len(MALFORMED_SNMP_DATA)], ("10.5.0.1", 161))
 
     def do_clock(self, by_us: int) -> None:
         """The system clock is stepped."""
--- a/barleywheel/fuzz/targets.py
+++ b/barleywheel/fuzz/targets.py
@@ -80,7 +80,7 @@
 class NullHubPool:
     """A stand-in for ``HubPool`` that ignores the hub list."""
 
-    def update(self, endpoints: list[Any], whole: bool) -> None:
+    def update(self, endpoints: list[Any], is_snapshot: bool) -> None:
         """See ``HubPool``."""
 
 
